--- a/src/net/admin/cordon.rs
+++ b/src/net/admin/cordon.rs
@@ -11,7 +11,7 @@
 use super::respond::{error, has_body, ok, unexpected_body};
 use super::Admin;
 use crate::net::control::cordons;
-use crate::net::control::message::Control;
+use crate::net::control::message::ControlCommand;
 use crate::net::runtime::metrics::COUNTERS;
 use crate::say;
 
@@ -36,7 +36,7 @@
     };
     let _order = admin.order.lock().await;
     let (reply, answer) = oneshot::channel();
-    if admin.control.try_send(Control::Cordon { name: name.clone(), cordoned, reply }).is_err() {
+    if admin.control.try_send(ControlCommand::Cordon { name: name.clone(), cordoned, reply }).is_err() {
         return error(StatusCode::SERVICE_UNAVAILABLE, "the module is busy; call again");
     }
     let names = match answer.await {
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -31,7 +31,7 @@
 
 use crate::net::admin::stats::AdminStats;
 use crate::net::consensus::OperatorRequest;
-use crate::net::control::message::Control;
+use crate::net::control::message::ControlCommand;
 use crate::net::runtime::metrics::COUNTERS;
 use crate::net::runtime::shutdown::Phase;
 use crate::net::runtime::socket_errors;
@@ -50,7 +50,7 @@
 pub struct Admin {
     pub figures: Arc<AdminStats>,
     pub phase: watch::Sender<Phase>,
-    pub control: mpsc::Sender<Control>,
+    pub control: mpsc::Sender<ControlCommand>,
     /// The file that stores the set of cordoned backends, if any.
     pub store: Option<PathBuf>,
     /// Locked by whoever changes the set: see [`cordons::watch_file`](crate::net::control::cordons::watch_file).
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 
-fn admin() -> (Router, mpsc::Receiver<Control>, watch::Receiver<Phase>) {
+fn admin() -> (Router, mpsc::Receiver<ControlCommand>, watch::Receiver<Phase>) {
     let (control, calls) = mpsc::channel(4);
     let (phase, seen) = watch::channel(Phase::Serving);
     let admin = Admin {
@@ -56,7 +56,7 @@
 async fn a_cordon_is_answered_as_the_control_actor_decides() {
     let (mut routes, mut calls, _) = admin();
     let module = tokio::spawn(async move {
-        while let Some(Control::Cordon { name, cordoned, reply }) = calls.recv().await {
+        while let Some(ControlCommand::Cordon { name, cordoned, reply }) = calls.recv().await {
             let known = name == "w%1" || name == "w2";
             let names = if cordoned { vec![name] } else { vec![] };
             let _ = reply.send(known.then_some(names));
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -22,7 +22,7 @@
 use super::store::{History, HistoryEntry, StateStore, StoredState};
 use crate::net::canary::{CanaryStep, CanaryWatch, Rollback, SecondOutcomes};
 use crate::net::config::settings::TierSettings;
-use crate::net::control::message::{ActiveVersions, Control, ScheduledConfigVersion};
+use crate::net::control::message::{ActiveVersions, ControlCommand, ScheduledConfigVersion};
 use crate::net::peers::OutgoingDatagram;
 use crate::net::runtime::clock::Clock;
 use crate::net::runtime::metrics::COUNTERS;
@@ -57,7 +57,7 @@
     pub stored: Option<StoredState>,
     pub seed: u64,
     pub peers: mpsc::Sender<OutgoingDatagram>,
-    pub control: mpsc::Sender<Control>,
+    pub control: mpsc::Sender<ControlCommand>,
 }
 
 /// What the control actor was told last.
@@ -88,7 +88,7 @@
     last_report: Option<Report>,
     clock: Clock,
     peers: mpsc::Sender<OutgoingDatagram>,
-    control: mpsc::Sender<Control>,
+    control: mpsc::Sender<ControlCommand>,
 }
 
 impl ConsensusActor {
@@ -352,7 +352,7 @@
             scheduled,
             valid_until: if is_known { self.to_control_time(lease.valid_until) } else { 0 },
         };
-        if self.control.send(Control::VersionsChanged(Box::new(versions))).await.is_ok() {
+        if self.control.send(ControlCommand::VersionsChanged(Box::new(versions))).await.is_ok() {
             self.last_report = Some(Report { version, lease });
         }
     }
--- a/src/net/control/actor.rs
+++ b/src/net/control/actor.rs
@@ -23,8 +23,8 @@
 use crate::net::control::capture_records::{CaptureRecords, CapturedAnswer, CapturedRequest};
 use crate::net::control::endpoint_table::EndpointTable;
 use crate::net::control::message::{
-    AcceptedRequest, ActiveVersions, Answer, AttemptOutcome, ConfigVersion, Control, CounterReply, Message,
-    Reply,
+    AcceptedRequest, ActiveVersions, Answer, AttemptOutcome, ConfigVersion, ControlCommand, CounterReply,
+    Message, Reply,
 };
 use crate::net::control::request_table::{AttemptOrder, OpenRequest, RequestTable, RequestVersion};
 use crate::net::control::timers::TimerQueue;
@@ -145,7 +145,7 @@
     pub async fn run(
         mut self,
         mut endpoint_changes: mpsc::Receiver<EndpointsChange>,
-        mut controls: mpsc::Receiver<Control>,
+        mut controls: mpsc::Receiver<ControlCommand>,
         mut mailbox: mpsc::Receiver<Message>,
     ) {
         let mut messages = Vec::with_capacity(MAX_BATCH);
@@ -193,16 +193,16 @@
         }
     }
 
-    fn on_control(&mut self, control: Control) {
+    fn on_control(&mut self, control: ControlCommand) {
         match control {
-            Control::Cordon { name, cordoned, reply } => {
+            ControlCommand::Cordon { name, cordoned, reply } => {
                 let _ = reply.send(self.set_cordon(name.into(), cordoned));
             }
-            Control::ReplaceCordons { names, reply } => {
+            ControlCommand::ReplaceCordons { names, reply } => {
                 self.replace_cordons(names.into_iter().map(Into::into).collect());
                 let _ = reply.send(());
             }
-            Control::VersionsChanged(versions) => self.on_versions_changed(*versions),
+            ControlCommand::VersionsChanged(versions) => self.on_versions_changed(*versions),
         }
     }
 
@@ -444,7 +444,7 @@
     fn call_counter(&mut self, now: Micros, name: CounterName, amount: f64, time_to_live: Micros) {
         COUNTERS.counter_calls.increment();
         let deadline = self.clock.instant(now) + self.counter_timeout;
-        let call = CounterCall { name, amount, keep: time_to_live, deadline };
+        let call = CounterCall { name, amount, lifetime: time_to_live, deadline };
         if self.counter.as_ref().is_none_or(|counter| counter.try_send(call).is_err()) {
             let reply = CounterReply { name, outcome: Outcome::ConnectFailed, total: None };
             self.unsent_counter_calls.push(reply);
--- a/src/net/control/cordons.rs
+++ b/src/net/control/cordons.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{mpsc, oneshot, Mutex};
 use tokio::time::{interval, MissedTickBehavior};
 
-use crate::net::control::message::Control;
+use crate::net::control::message::ControlCommand;
 use crate::net::runtime::metrics::COUNTERS;
 use crate::say;
 
@@ -95,7 +95,7 @@
 
 /// Sends the set kept at `path` to the control actor whenever another process changed it, until that actor has ended.
 /// `order` is locked here and by each call that changes the set, so that neither sees the other half done.
-pub async fn watch_file(path: PathBuf, order: Arc<Mutex<()>>, control: mpsc::Sender<Control>) {
+pub async fn watch_file(path: PathBuf, order: Arc<Mutex<()>>, control: mpsc::Sender<ControlCommand>) {
     let mut checks = interval(CHECK_EVERY);
     checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut seen = None;
@@ -109,7 +109,7 @@
         match try_read(&path) {
             Ok(names) => {
                 let (reply, done) = oneshot::channel();
-                if control.send(Control::ReplaceCordons { names, reply }).await.is_err()
+                if control.send(ControlCommand::ReplaceCordons { names, reply }).await.is_err()
                     || done.await.is_err()
                 {
                     return;
--- a/src/net/control/cordons/tests.rs
+++ b/src/net/control/cordons/tests.rs
@@ -31,7 +31,7 @@
     let order = Arc::new(Mutex::new(()));
     let follower = tokio::spawn(watch_file(file.clone(), order.clone(), control));
     let mut expect_replaced = async |expected: &[&str]| loop {
-        let Some(Control::ReplaceCordons { names, reply }) = calls.recv().await else {
+        let Some(ControlCommand::ReplaceCordons { names, reply }) = calls.recv().await else {
             panic!("the watch goes on")
         };
         reply.send(()).expect("it waits for the reply");
--- a/src/net/control/message.rs
+++ b/src/net/control/message.rs
@@ -34,9 +34,9 @@
     /// How long the client said it would wait.
     pub timeout: Duration,
     /// The first limiter of those that its customer's requests come in through.
-    pub first: u32,
+    pub first_limiter: u32,
     /// Marked as a retry.
-    pub retry: bool,
+    pub is_retry: bool,
 }
 
 /// How an attempt ended.
@@ -144,7 +144,7 @@
 }
 
 /// What the operators' address and the consensus actor ask of the control actor, through a mailbox of its own.
-pub enum Control {
+pub enum ControlCommand {
     /// Cordon backend `name` or release it; the names that are cordoned then, `None` for a backend that is not
     /// known.
     Cordon { name: String, cordoned: bool, reply: oneshot::Sender<Option<Vec<String>>> },
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -10,7 +10,7 @@
 use super::watch::{MAX_BACKOFF, MIN_BACKOFF};
 use super::*;
 use crate::net::config::addresses::Addresses;
-use crate::net::fixed;
+use crate::net::fixed_seed_config;
 use hyper::Uri;
 use hyper_util::client::legacy::connect::{Connected, Connection};
 use hyper_util::rt::TokioIo;
@@ -32,7 +32,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(256))]
+    #![proptest_config(fixed_seed_config(256))]
     /// However a watch's bytes are split, it tells the same changes in the same order, indented or not.
     #[test]
     fn changes_do_not_depend_on_how_bytes_are_split(
--- a/src/net/listener/connection_table/tests.rs
+++ b/src/net/listener/connection_table/tests.rs
@@ -1,7 +1,7 @@
 //! Evictions and time limits against a model.
 
 use super::*;
-use crate::net::fixed;
+use crate::net::fixed_seed_config;
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(512))]
+    #![proptest_config(fixed_seed_config(512))]
     /// Which connection is closed for want of capacity or time, against a model that looks through all of them.
     #[test]
     fn the_oldest_idle_one_is_closed_first_and_none_with_a_request_in_flight(steps in prop::collection::vec(step(), 1..80)) {
--- a/src/net/listener/handler.rs
+++ b/src/net/listener/handler.rs
@@ -178,8 +178,12 @@
             timeout: 0,
             spread: head.metering.spread,
         };
-        let origin =
-            Arrival { arrived_at, timeout: head.timeout, first: head.metering.first, retry: head.is_retry };
+        let origin = Arrival {
+            arrived_at,
+            timeout: head.timeout,
+            first_limiter: head.metering.first,
+            is_retry: head.is_retry,
+        };
         AcceptedRequest { request, forward: Arc::new(forward), origin, deadline, reply }
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -15,7 +15,7 @@
 
 /// Settings of the checks by random steps: the same steps at every run.
 #[cfg(test)]
-pub fn fixed(cases: u32) -> proptest::test_runner::Config {
+pub fn fixed_seed_config(cases: u32) -> proptest::test_runner::Config {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(20);
     proptest::test_runner::Config { cases, rng_seed, failure_persistence: None, ..Default::default() }
 }
--- a/src/net/quota_counter/mod.rs
+++ b/src/net/quota_counter/mod.rs
@@ -35,7 +35,7 @@
     pub name: CounterName,
     pub amount: f64,
     /// How long the service keeps the counter, if the call creates it.
-    pub keep: Micros,
+    pub lifetime: Micros,
     pub deadline: Instant,
 }
 
--- a/src/net/quota_counter/pipeline.rs
+++ b/src/net/quota_counter/pipeline.rs
@@ -87,7 +87,7 @@
 
     /// Queues a call.
     pub(super) fn push_call(&mut self, call: CounterCall, now: Instant) {
-        let time_to_live_ms = (call.keep / 1000).max(1);
+        let time_to_live_ms = (call.lifetime / 1000).max(1);
         let line = add_line(call.name, call.amount, time_to_live_ms);
         self.push_line(&line, LineKind::Call(call), now);
     }
--- a/src/net/quota_counter/tests.rs
+++ b/src/net/quota_counter/tests.rs
@@ -6,7 +6,7 @@
 
 use super::pipeline::{CallPipeline, SILENCE_TIMEOUT};
 use super::*;
-use crate::net::fixed;
+use crate::net::fixed_seed_config;
 
 /// How long after it is made a call of the tests is given up.
 const CALL_TIMEOUT: Duration = Duration::from_millis(30);
@@ -88,7 +88,7 @@
     fn call(&mut self) {
         self.calls += 1;
         let (name, deadline) = (self.calls, self.now + CALL_TIMEOUT);
-        self.pipeline.push_call(CounterCall { name, amount: -2.5, keep: 4_000_000, deadline }, self.now);
+        self.pipeline.push_call(CounterCall { name, amount: -2.5, lifetime: 4_000_000, deadline }, self.now);
         self.queued_bytes += format!("add {name} -2.5 4000\r\n").len() as u64;
         let end_offset = self.queued_bytes;
         self.due.push_back(DueLine { call: Some(name), end_offset, deadline: Some(deadline) });
@@ -159,7 +159,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(512))]
+    #![proptest_config(fixed_seed_config(512))]
     /// Each call gets one reply, in its turn, with the outcome that the counter and the connection prove.
     #[test]
     fn each_call_gets_one_reply_with_the_proven_outcome(steps in prop::collection::vec(step(), 1..60)) {
@@ -179,7 +179,7 @@
     assert!(CallPipeline::new(now).receive(b"ok 1\r\n", now, &mut replies).is_err());
     for malformed in ["okay\r\n", "ok NaN\r\n", "pong\r\n"] {
         let mut pipeline = CallPipeline::new(now);
-        pipeline.push_call(CounterCall { name: 7, amount: 1.0, keep: 1, deadline: now }, now);
+        pipeline.push_call(CounterCall { name: 7, amount: 1.0, lifetime: 1, deadline: now }, now);
         pipeline.record_written(pipeline.output().len());
         assert!(pipeline.receive(malformed.as_bytes(), now, &mut replies).is_err());
         pipeline.close(&mut replies);
--- a/src/net/upstream/actor.rs
+++ b/src/net/upstream/actor.rs
@@ -188,14 +188,14 @@
         let outcome = ended.into_outcome();
         count_attempt(outcome.outcome);
         // The module never waits for a backend, so this wait ends.
-        let _ = self.shared.module.send(Message::AttemptEnded(outcome)).await;
+        let _ = self.shared.control.send(Message::AttemptEnded(outcome)).await;
     }
 
     async fn on_health_check_ended(&mut self, ended: EndedHealthCheck) {
         let HealthCheckResult { outcome, report } = ended.result;
         let (backend, latency) = (self.backend.clone(), ended.begun.elapsed());
         let checked = Message::HealthChecked { backend, outcome, latency, report };
-        let _ = self.shared.module.send(checked).await;
+        let _ = self.shared.control.send(checked).await;
     }
 }
 
--- a/src/net/upstream/exchange_progress/tests.rs
+++ b/src/net/upstream/exchange_progress/tests.rs
@@ -1,7 +1,7 @@
 //! What the recorded bytes prove, against a reference that knows all of them.
 
 use super::*;
-use crate::net::fixed;
+use crate::net::fixed_seed_config;
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
@@ -112,7 +112,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(2048))]
+    #![proptest_config(fixed_seed_config(2048))]
     /// Written bytes, answers, drains and given-up attempts in any order, over any number of requests.
     #[test]
     fn a_request_counts_as_never_run_only_without_its_last_byte_and_without_an_answer(
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -40,8 +40,8 @@
     pub keepalive: Duration,
     /// Descriptors for connections to backends.
     pub sockets: Arc<Semaphore>,
-    pub module: mpsc::Sender<Message>,
-    pub figures: Arc<AdminStats>,
+    pub control: mpsc::Sender<Message>,
+    pub stats: Arc<AdminStats>,
 }
 
 impl UpstreamShared {
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -8,7 +8,7 @@
 use super::dialer::Dialer;
 use super::*;
 use crate::net::control::message::{AttemptOutcome, ForwardedRequest};
-use crate::net::fixed;
+use crate::net::fixed_seed_config;
 use crate::net::listener::open_ids::OpenRequestIds;
 use axum::http::{HeaderValue, Method};
 use bytes::Bytes;
@@ -157,12 +157,12 @@
 const LONG: Duration = Duration::from_secs(60);
 
 pub(super) fn upstream_shared() -> (Arc<UpstreamShared>, mpsc::Receiver<Message>) {
-    let (module, mailbox) = mpsc::channel(64);
+    let (control, mailbox) = mpsc::channel(64);
     let sockets = Arc::new(Semaphore::new(8));
     let names = NameIndex::new(["read"], ["small"], ["util"]);
-    let figures = Arc::new(AdminStats::new(["read"]));
+    let stats = Arc::new(AdminStats::new(["read"]));
     (
-        Arc::new(UpstreamShared { names, connect_timeout: LONG, keepalive: LONG, sockets, module, figures }),
+        Arc::new(UpstreamShared { names, connect_timeout: LONG, keepalive: LONG, sockets, control, stats }),
         mailbox,
     )
 }
@@ -236,7 +236,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(48))]
+    #![proptest_config(fixed_seed_config(48))]
     /// Each attempt ends as what the backend did proves, on the connection that is open or on a new one.
     #[test]
     fn attempts_end_as_what_the_backend_did_proves(
@@ -351,7 +351,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (shared, mut mailbox) = upstream_shared();
     let handle = BackendHandle::start("s-1".into(), listener.local_addr().unwrap(), shared.clone());
-    let written = || shared.figures.json()["upstream_requests"].as_u64().unwrap();
+    let written = || shared.stats.json()["upstream_requests"].as_u64().unwrap();
     let mut timeout = Duration::from_millis(50);
     loop {
         let before = written();
--- a/src/net/upstream/tests/answer_begun.rs
+++ b/src/net/upstream/tests/answer_begun.rs
@@ -66,7 +66,7 @@
     }
 
     fn written_attempts(&self) -> u64 {
-        self.shared.figures.json()["upstream_requests"].as_u64().unwrap()
+        self.shared.stats.json()["upstream_requests"].as_u64().unwrap()
     }
 
     /// Has the attempt's answer begun and read by the limiter; false where the attempt ended before that.
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -25,7 +25,7 @@
 };
 use crate::net::control::actor::{ControlActor, ControlActorParts, VersionSettings};
 use crate::net::control::cordons;
-use crate::net::control::message::{Control, Message};
+use crate::net::control::message::{ControlCommand, Message};
 use crate::net::discovery;
 use crate::net::discovery::endpoints::EndpointsChange;
 use crate::net::listener::{self, Listener};
@@ -187,8 +187,8 @@
         connect_timeout: config::duration(config.limits.connect_timeout),
         keepalive: config::duration(config.limits.keepalive),
         sockets: Arc::new(Semaphore::new(config.destination_sockets)),
-        module: messages.clone(),
-        figures: stats.clone(),
+        control: messages.clone(),
+        stats: stats.clone(),
     }
 }
 
@@ -259,7 +259,7 @@
     tier: Tier,
     clock: Clock,
     peers: Option<mpsc::Sender<OutgoingDatagram>>,
-    control: &mpsc::Sender<Control>,
+    control: &mpsc::Sender<ControlCommand>,
     inputs: ReplicaInputs,
 ) -> Result<mpsc::Sender<OperatorRequest>, ConsensusStartError> {
     let peers = peers.ok_or(ConsensusStartError::NoPeers)?;
@@ -287,7 +287,7 @@
     config: &Config,
     stats: Arc<AdminStats>,
     phase: watch::Sender<Phase>,
-    control: mpsc::Sender<Control>,
+    control: mpsc::Sender<ControlCommand>,
     operator_calls: Option<mpsc::Sender<OperatorRequest>>,
 ) {
     let (store, order) = (config.cordons.clone(), Arc::<Mutex<()>>::default());
