--- a/src/net/control/actor.rs
+++ b/src/net/control/actor.rs
@@ -415,10 +415,10 @@
     fn execute(&mut self, now: Micros, action: Action) {
         match action {
             Action::StartAttempt { request, backend, timeout, write_within } => {
-                let begun = self.clock.instant(now);
-                let after = |span: Micros| begun + Duration::from_micros(span);
-                let (deadline, written_by) = (timeout.map(after), write_within.map(after));
-                self.start_attempt(AttemptOrder { request, begun, deadline, written_by }, &backend);
+                let started_at = self.clock.instant(now);
+                let after = |span: Micros| started_at + Duration::from_micros(span);
+                let (deadline, write_deadline) = (timeout.map(after), write_within.map(after));
+                self.start_attempt(AttemptOrder { request, started_at, deadline, write_deadline }, &backend);
             }
             Action::CancelAttempt { request, attempt } => self.requests.cancel_attempt(request, attempt),
             Action::Reject { request, retry_after } => self.answer(request, Reply::Rejected { retry_after }),
@@ -453,8 +453,8 @@
 
     fn check_health(&self, backend: &BackendId) {
         if let Some(handle) = self.endpoints.handle(backend) {
-            let begun = Instant::now();
-            handle.send(BackendCommand::Probe { begun, deadline: begun + self.connect_timeout });
+            let started_at = Instant::now();
+            handle.send(BackendCommand::Probe { started_at, deadline: started_at + self.connect_timeout });
         }
     }
 
--- a/src/net/control/message.rs
+++ b/src/net/control/message.rs
@@ -55,7 +55,7 @@
 
 impl AttemptOutcome {
     /// An attempt that ended without an answer.
-    pub fn without_answer(
+    pub fn without_response(
         request: RequestId,
         attempt: u32,
         outcome: Outcome,
--- a/src/net/control/request_table.rs
+++ b/src/net/control/request_table.rs
@@ -83,11 +83,11 @@
 /// An attempt that the decisions ordered.
 pub struct AttemptOrder {
     pub request: RequestId,
-    pub begun: Instant,
+    pub started_at: Instant,
     /// When the attempt ends; the request's own deadline holds as well.
     pub deadline: Option<Instant>,
     /// What is not written whole by then must not be sent at all.
-    pub written_by: Option<Instant>,
+    pub write_deadline: Option<Instant>,
 }
 
 /// All open requests.
@@ -140,15 +140,15 @@
             request: order.request,
             number,
             forward: open.forward.clone(),
-            begun: order.begun,
+            started_at: order.started_at,
             deadline: order.deadline.map_or(open.deadline, |deadline| deadline.min(open.deadline)),
-            written_by: order.written_by,
+            write_deadline: order.write_deadline,
         };
         let sent = handle.as_ref().is_some_and(|handle| handle.send(BackendCommand::Attempt(attempt)));
         open.in_flight += 1;
         open.attempts.push(handle);
         let not_sent =
-            || AttemptOutcome::without_answer(order.request, number, Outcome::NotSent, Duration::ZERO);
+            || AttemptOutcome::without_response(order.request, number, Outcome::NotSent, Duration::ZERO);
         (!sent).then(not_sent)
     }
 
--- a/src/net/discovery/pending_calls.rs
+++ b/src/net/discovery/pending_calls.rs
@@ -15,8 +15,8 @@
     pub(super) is_newest: bool,
 }
 
-/// The calls that wait for an answer, the oldest first. A late one is kept while further ones are made: where calls wait
-/// in turn at discovery, each that is given up and made anew goes to the end of the queue.
+/// The calls that wait for an answer, the oldest first. A late one is kept while further ones are made: where calls
+/// wait in turn at discovery, each that is given up and made anew goes to the end of the queue.
 pub(super) struct PendingCalls<T> {
     calls: VecDeque<Pin<Box<dyn Future<Output = T> + Send>>>,
 }
--- a/src/net/discovery/tests/late_calls.rs
+++ b/src/net/discovery/tests/late_calls.rs
@@ -1,9 +1,9 @@
 //! Discovery answers calls late.
 //!
-//! A limiter sent requests to a draining server 0.39 to 0.55 s after the drain counted as told. Discovery answered calls
-//! in turn, 0.29 s each, and a call was given up after 1 s: its answer came 0.46 s later, to nobody, and the call made in
-//! its place stood at the end of the queue (trace: watch reset 4.523, call 5.025, given up 6.025, called again 6.525, told
-//! 7.239; told by the bench's count at 6.49, requests from 6.971 on).
+//! A limiter sent requests to a draining server 0.39 to 0.55 s after the drain counted as told. Discovery answered
+//! calls in turn, 0.29 s each, and a call was given up after 1 s: its answer came 0.46 s later, to nobody, and the call
+//! made in its place stood at the end of the queue (trace: watch reset 4.523, call 5.025, given up 6.025, called again
+//! 6.525, told 7.239; told by the bench's count at 6.49, requests from 6.971 on).
 
 use super::*;
 
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -115,8 +115,8 @@
     connector
 }
 
-/// Watches discovery from `version` on, for as long as the module listens, and moves with its address. Each reload opens
-/// the watch anew: the one that stands may be silent.
+/// Watches discovery from `version` on, for as long as the module listens, and moves with its address. Each reload
+/// opens the watch anew: the one that stands may be silent.
 pub async fn run<C: Connect + Clone + Send + Sync + 'static>(
     connector: C,
     mut addresses: watch::Receiver<Addresses>,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The limiter on sockets: everything between the wire and the library's decisions.
+//! The network side of the limiter: sockets and protocols, and the actors that connect them to the decision logic of
+//! the library.
 
 pub mod admin;
 pub mod canary;
@@ -13,7 +14,7 @@
 pub mod runtime;
 pub mod upstream;
 
-/// Settings of the checks by random steps: the same steps at every run.
+/// Configuration of property tests: `cases` cases from a fixed seed, so that every run tests the same ones.
 #[cfg(test)]
 pub fn fixed_seed_config(cases: u32) -> proptest::test_runner::Config {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(20);
--- a/src/net/upstream/actor.rs
+++ b/src/net/upstream/actor.rs
@@ -1,4 +1,4 @@
-//! The actor of one backend, and the handle on it.
+//! The actor of one backend, and the handle that controls it.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -23,20 +23,21 @@
 use crate::net::control::message::{AttemptOutcome, Message};
 use crate::net::runtime::metrics::COUNTERS;
 
-/// Commands that may wait in the mailbox of a backend's actor.
+/// Number of commands that the mailbox of a backend's actor holds.
 const MAILBOX_CAPACITY: usize = 1024;
 
-/// What a backend's actor is asked to do.
+/// A command to a backend's actor.
 pub enum BackendCommand {
-    /// Send a request.
+    /// Start an attempt.
     Attempt(Attempt),
-    /// Give an attempt up.
+    /// Cancel an attempt.
     Cancel { request: RequestId, attempt: u32 },
     /// Check the backend's health.
-    Probe { begun: Instant, deadline: Instant },
+    Probe { started_at: Instant, deadline: Instant },
 }
 
-/// The handle on a backend's actor; once all are dropped, the actor finishes what it has and ends.
+/// A handle to a backend's actor. Once all handles are dropped, the actor finishes its attempts and health checks and
+/// stops.
 #[derive(Clone)]
 pub struct BackendHandle {
     pub id: BackendId,
@@ -46,7 +47,7 @@
 }
 
 impl BackendHandle {
-    /// Starts a backend's actor.
+    /// Starts the actor of a backend.
     pub fn start(backend: BackendId, addr: SocketAddr, shared: Arc<UpstreamShared>) -> BackendHandle {
         let (commands, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
         let closed = Arc::new(AtomicBool::new(false));
@@ -55,28 +56,28 @@
         BackendHandle { id: backend, addr, commands, closed }
     }
 
-    /// From now on no first byte of a request is written there; what is under way goes on.
+    /// Prevents the backend from receiving any further request; requests of which a byte has been written continue.
     pub fn close(&self) {
         self.closed.store(true, Relaxed);
     }
 
-    /// Puts a command into the mailbox, without waiting; false if it is full.
+    /// Puts a command into the actor's mailbox without waiting. Returns false if the mailbox is full.
     pub fn send(&self, command: BackendCommand) -> bool {
         self.commands.try_send(command).is_ok()
     }
 }
 
-/// Names an attempt within one backend.
+/// Identifies an attempt within one backend's actor.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct AttemptKey {
     request: RequestId,
     number: u32,
 }
 
-/// An attempt that has ended, or was cancelled.
+/// An attempt that has ended or was cancelled.
 struct EndedAttempt {
     key: AttemptKey,
-    begun: Instant,
+    started_at: Instant,
     result: Result<AttemptOutcome, Aborted>,
 }
 
@@ -84,21 +85,21 @@
     fn into_outcome(self) -> AttemptOutcome {
         let AttemptKey { request, number } = self.key;
         self.result.unwrap_or_else(|Aborted| {
-            AttemptOutcome::without_answer(request, number, Outcome::Canceled, self.begun.elapsed())
+            AttemptOutcome::without_response(request, number, Outcome::Canceled, self.started_at.elapsed())
         })
     }
 }
 
 /// A health check that has ended.
 struct EndedHealthCheck {
-    begun: Instant,
+    started_at: Instant,
     result: HealthCheckResult,
 }
 
 type BoxedFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// The actor of one backend. It owns the backend's pool of connections, the attempts under way with their cancel
-/// handles, and the health checks under way.
+/// The actor of one backend. It owns the backend's connection pool, the running attempts with their cancel handles, and
+/// the running health checks.
 pub(super) struct BackendActor {
     backend: BackendId,
     pool: Pool,
@@ -150,20 +151,20 @@
                     handle.abort();
                 }
             }
-            BackendCommand::Probe { begun, deadline } => self.start_health_check(begun, deadline),
+            BackendCommand::Probe { started_at, deadline } => self.start_health_check(started_at, deadline),
         }
     }
 
     fn start_attempt(&mut self, attempt: Attempt) {
         COUNTERS.attempts.increment();
         let key = AttemptKey { request: attempt.request, number: attempt.number };
-        let begun = attempt.begun;
+        let started_at = attempt.started_at;
         let (run, cancel_handle) = abortable(self.attempt_run(attempt).run());
         self.cancel_handles.insert(key, cancel_handle);
-        self.attempts.push(Box::pin(async move { EndedAttempt { key, begun, result: run.await } }));
+        self.attempts.push(Box::pin(async move { EndedAttempt { key, started_at, result: run.await } }));
     }
 
-    /// An attempt at this backend, not begun yet.
+    /// Prepares an attempt at this backend without starting it.
     pub(super) fn attempt_run(&self, attempt: Attempt) -> AttemptRun {
         AttemptRun {
             attempt,
@@ -174,12 +175,12 @@
         }
     }
 
-    fn start_health_check(&mut self, begun: Instant, deadline: Instant) {
+    fn start_health_check(&mut self, started_at: Instant, deadline: Instant) {
         COUNTERS.probes.increment();
         let (pool, host, shared) = (self.pool.clone(), self.host.clone(), self.shared.clone());
         self.health_checks.push(Box::pin(async move {
             let result = check_health(&pool, &host, &shared.names, deadline).await;
-            EndedHealthCheck { begun, result }
+            EndedHealthCheck { started_at, result }
         }));
     }
 
@@ -187,13 +188,13 @@
         self.cancel_handles.remove(&ended.key);
         let outcome = ended.into_outcome();
         count_attempt(outcome.outcome);
-        // The module never waits for a backend, so this wait ends.
+        // The control actor never waits for a backend's actor, so this wait cannot deadlock.
         let _ = self.shared.control.send(Message::AttemptEnded(outcome)).await;
     }
 
     async fn on_health_check_ended(&mut self, ended: EndedHealthCheck) {
         let HealthCheckResult { outcome, report } = ended.result;
-        let (backend, latency) = (self.backend.clone(), ended.begun.elapsed());
+        let (backend, latency) = (self.backend.clone(), ended.started_at.elapsed());
         let checked = Message::HealthChecked { backend, outcome, latency, report };
         let _ = self.shared.control.send(checked).await;
     }
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt, from finding a connection to the answer's last byte.
+//! One attempt, from acquiring a connection to the last byte of the response.
 
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -18,51 +18,52 @@
 use crate::net::control::message::{AttemptOutcome, ForwardedRequest};
 use crate::net::runtime::metrics::COUNTERS;
 
-/// One attempt at a request.
+/// An attempt to have a backend serve a request.
 pub struct Attempt {
     pub request: RequestId,
     pub number: u32,
     pub forward: Arc<ForwardedRequest>,
-    pub begun: Instant,
+    pub started_at: Instant,
     pub deadline: Instant,
-    /// What is not written whole by then must not be sent at all.
-    pub written_by: Option<Instant>,
+    /// If the request is not fully written by this time, the attempt is given up: the request must not reach the
+    /// backend any later.
+    pub write_deadline: Option<Instant>,
 }
 
 impl Attempt {
-    /// Waits until the client leaves, or the time to be written is over: how the attempt ends then if it is not
-    /// written.
-    async fn withdrawn(&self) -> Outcome {
-        let too_late = async {
-            match self.written_by {
+    /// Waits until the client disconnects or the write deadline passes. Returns the outcome of the attempt in that
+    /// case, which applies only if the request has not been fully written.
+    async fn wait_for_withdrawal(&self) -> Outcome {
+        let write_deadline_passed = async {
+            match self.write_deadline {
                 Some(by) => sleep_until(by).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             () = self.forward.client_gone.cancelled() => Outcome::Canceled,
-            () = too_late => Outcome::NotSent,
+            () = write_deadline_passed => Outcome::NotSent,
         }
     }
 }
 
-/// How the wait for a step of an attempt ended.
+/// The result of running one step of an attempt.
 enum StepEnd<T> {
     Finished(T),
     DeadlinePassed,
-    /// Withdrawn before the request was written whole.
+    /// The attempt was withdrawn before its request was fully written.
     Withdrawn(Outcome),
 }
 
-/// What an attempt does after an exchange.
+/// What an attempt does after it has used a connection.
 enum NextStep {
     EndWith(Outcome),
-    /// The connection had ended while it stood idle, before a byte was written to it: another one is used.
+    /// The connection was closed while idle, before any byte of the request was written: retry on another one.
     UseAnotherConnection,
 }
 
-/// An attempt as a backend's actor runs it. The deadline, and a cancel, drop the exchange and with it its connection,
-/// which closes.
+/// An attempt together with what a backend's actor needs to run it. When the deadline passes or the attempt is
+/// cancelled, the exchange is dropped, which closes its connection.
 pub(super) struct AttemptRun {
     pub(super) attempt: Attempt,
     pub(super) pool: Pool,
@@ -72,56 +73,61 @@
 }
 
 impl AttemptRun {
-    /// Runs the attempt to its end.
+    /// Runs the attempt and returns its outcome.
     pub(super) async fn run(self) -> AttemptOutcome {
-        let mut ended = AttemptOutcome::without_answer(
+        let mut attempt_outcome = AttemptOutcome::without_response(
             self.attempt.request,
             self.attempt.number,
             Outcome::NotSent,
             Duration::ZERO,
         );
-        while self.may_begin() {
-            match self.send_once(&mut ended).await {
+        while self.may_start() {
+            match self.send_once(&mut attempt_outcome).await {
                 NextStep::UseAnotherConnection => COUNTERS.attempts_redialled.increment(),
                 NextStep::EndWith(outcome) => {
-                    ended.outcome = outcome;
+                    attempt_outcome.outcome = outcome;
                     break;
                 }
             }
         }
-        ended.latency = self.attempt.begun.elapsed();
-        ended
+        attempt_outcome.latency = self.attempt.started_at.elapsed();
+        attempt_outcome
     }
 
-    /// Guards graceful shutdowns: an attempt may have waited in the mailbox while its backend began to drain, or its
-    /// client went away.
-    fn may_begin(&self) -> bool {
+    /// Whether a request may still be sent. While the attempt waited in the mailbox, its backend may have started to
+    /// drain, or its client may have disconnected.
+    fn may_start(&self) -> bool {
         !self.backend_closed.load(Relaxed) && !self.attempt.forward.client_gone.is_cancelled()
     }
 
-    /// Sends the request on one connection.
-    async fn send_once(&self, ended: &mut AttemptOutcome) -> NextStep {
-        let connection = match self.until_withdrawn(self.pool.acquire(), || true).await {
+    /// Acquires a connection and sends the request on it.
+    async fn send_once(&self, attempt_outcome: &mut AttemptOutcome) -> NextStep {
+        let connection = match self.run_until_withdrawn(self.pool.acquire(), || true).await {
             StepEnd::Finished(Ok(connection)) => connection,
             StepEnd::Finished(Err(_)) => return NextStep::EndWith(self.outcome_of_failed_dial()),
             StepEnd::DeadlinePassed => return NextStep::EndWith(Outcome::ConnectFailed),
             StepEnd::Withdrawn(outcome) => return NextStep::EndWith(outcome),
         };
-        self.send_on(connection, ended).await
+        self.send_on_connection(connection, attempt_outcome).await
     }
 
-    async fn send_on(&self, connection: Connection, ended: &mut AttemptOutcome) -> NextStep {
+    async fn send_on_connection(
+        &self,
+        connection: Connection,
+        attempt_outcome: &mut AttemptOutcome,
+    ) -> NextStep {
         let progress = connection.progress().clone();
         let request = build_request(&self.host, &self.attempt);
-        let exchange = exchange(&self.pool, connection, request, &self.shared, ended);
-        // Guards repeats: an attempt that is withdrawn counts as one that never ran, also where its answer hangs.
+        let exchange = exchange(&self.pool, connection, request, &self.shared, attempt_outcome);
+        // A withdrawn attempt counts as never run, so that its request may be sent again. Withdrawal is therefore ruled
+        // out once the request may have run, even if the response never arrives.
         let may_withdraw = || !progress.state().may_have_run();
-        match self.until_withdrawn(exchange, may_withdraw).await {
+        match self.run_until_withdrawn(exchange, may_withdraw).await {
             StepEnd::Finished(Outcome::ConnectFailed) => self.after_connect_failure(&progress),
             StepEnd::Finished(outcome) | StepEnd::Withdrawn(outcome) => NextStep::EndWith(outcome),
             StepEnd::DeadlinePassed => {
-                // An answer that has begun was counted with its head.
-                if progress.state() == ExchangeState::WrittenWhole {
+                // If the response has started, the attempt was counted when the response head was read.
+                if progress.state() == ExchangeState::FullyWritten {
                     self.shared.stats.attempt_written();
                 }
                 NextStep::EndWith(progress.outcome_at_deadline())
@@ -129,19 +135,20 @@
         }
     }
 
-    /// Awaits `step` until the deadline, or until the attempt is withdrawn while it may be. A step that has not ended by
-    /// then is dropped, and with it its connection, on which nothing more is written.
+    /// Awaits `step` until the deadline, or until the attempt is withdrawn if `may_withdraw` allows that. A step that
+    /// does not finish is dropped together with its connection, on which nothing more is written.
     ///
-    /// Guards against beginning, or going on to write, what nobody waits for or what must not be repeated any more: a
-    /// dial may be late by seconds. What was written whole runs, and its end is awaited.
-    async fn until_withdrawn<T>(
+    /// Prevents an attempt from starting or continuing to write a request that no client waits for, or that must not be
+    /// repeated any more; dialling can take seconds. Once the request is fully written, the backend runs it, so its end
+    /// is awaited.
+    async fn run_until_withdrawn<T>(
         &self,
         step: impl Future<Output = T>,
         may_withdraw: impl Fn() -> bool,
     ) -> StepEnd<T> {
         let step = timeout_at(self.attempt.deadline, step);
         tokio::pin!(step);
-        let withdrawn = self.attempt.withdrawn();
+        let withdrawn = self.attempt.wait_for_withdrawal();
         let finished = tokio::select! {
             biased;
             finished = &mut step => finished,
@@ -154,7 +161,7 @@
     }
 
     fn outcome_of_failed_dial(&self) -> Outcome {
-        // Guards against blaming a backend for want of descriptors here.
+        // A lack of file descriptors in this process must not count as a failure of the backend.
         if self.backend_closed.load(Relaxed) || self.shared.is_out_of_descriptors() {
             return Outcome::NotSent;
         }
@@ -165,8 +172,8 @@
         if self.backend_closed.load(Relaxed) {
             return NextStep::EndWith(Outcome::NotSent);
         }
-        // Guards against blaming a backend for a connection that ended while it stood idle: nothing was written to it,
-        // and there are others.
+        // A connection that was closed while idle must not count as a failure of the backend: no byte of the request
+        // was written, so another connection can be used.
         if progress.is_unwritten_on_reused_connection() {
             return NextStep::UseAnotherConnection;
         }
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! An open connection to a backend, which carries one request at a time.
+//! An open connection to a backend. It carries one request at a time.
 
 use std::sync::Arc;
 
@@ -11,23 +11,24 @@
 use super::counted_io::CountedIo;
 use super::exchange_progress::ExchangeProgress;
 
-/// A head longer than this is no answer's.
+/// Maximum length of a response head. A longer one fails the exchange.
 const MAX_RESPONSE_HEAD_BYTES: usize = 64 << 10;
 
-/// A connection to a backend. Dropped, it closes, and what the client library still holds of a request is not written.
+/// A connection to a backend. Dropping it closes the socket and prevents the HTTP library from writing any part of a
+/// request that it has buffered.
 pub(super) struct Connection {
     requests: http1::SendRequest<Full<Bytes>>,
     progress: Arc<ExchangeProgress>,
 }
 
 impl Connection {
-    /// Starts HTTP on a connection that came up.
+    /// Starts HTTP on a newly opened connection.
     pub(super) async fn start(io: CountedIo) -> hyper::Result<Connection> {
         let progress = io.progress.clone();
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_RESPONSE_HEAD_BYTES);
         let (requests, driver) = builder.handshake(io).await?;
-        // How the connection ends is told to the request on it; failures of its socket are counted by `CountedIo`.
+        // The request on the connection receives the error that ends it, and `CountedIo` counts socket failures.
         tokio::spawn(async move {
             let _ = driver.await;
         });
@@ -36,28 +37,28 @@
         Ok(connection)
     }
 
-    /// How far the exchange on it has come.
+    /// The progress of the exchange on this connection.
     pub(super) fn progress(&self) -> &Arc<ExchangeProgress> {
         &self.progress
     }
 
-    /// Whether it is open and takes a request now.
+    /// Whether the connection is open and can accept a request now.
     pub(super) fn is_ready(&self) -> bool {
         self.requests.is_ready()
     }
 
-    /// Waits until it takes a request; an error if it ends before that.
+    /// Waits until the connection can accept a request. Fails if the connection closes first.
     pub(super) async fn ready(&mut self) -> hyper::Result<()> {
         self.requests.ready().await
     }
 
-    /// Sends a request, and returns once the answer's head is read.
+    /// Sends a request and returns once the response head has been read.
     pub(super) async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
-        let body_length = request.body().size_hint().exact().expect("the body is held whole");
+        let body_length = request.body().size_hint().exact().expect("the body is fully in memory");
         self.progress.begin_request(body_length);
         let response = self.requests.send_request(request).await;
         if response.is_ok() {
-            self.progress.record_answer_begun();
+            self.progress.record_response_started();
         }
         response
     }
--- a/src/net/upstream/counted_io.rs
+++ b/src/net/upstream/counted_io.rs
@@ -1,7 +1,7 @@
-//! Connections to a backend that record the bytes that their sockets took.
+//! Connections to a backend that record the bytes that their sockets accept.
 //!
-//! When an exchange breaks off, the client library does not say how much of the request was written. Whether the request
-//! may be repeated depends on just that, so each connection records it, below the library.
+//! Whether a request may be repeated after a broken exchange depends on how much of it was written. The HTTP client
+//! library does not report that, so it is recorded here, in the I/O type below the library.
 
 use std::io::{self, IoSlice};
 use std::mem::MaybeUninit;
@@ -20,12 +20,12 @@
 use super::exchange_progress::ExchangeProgress;
 use crate::net::runtime::socket_errors;
 
-/// A connection to a backend that records what is written, and refuses to write what must not be sent.
+/// A stream to a backend that records the bytes written and refuses to write requests that must not be sent.
 pub(super) struct CountedIo {
     pub(super) inner: TokioIo<TcpStream>,
     pub(super) progress: Arc<ExchangeProgress>,
     pub(super) addr: SocketAddr,
-    /// Set once no further request may begin to be written to the backend.
+    /// Set once no further request may be sent to the backend.
     pub(super) backend_closed: Arc<AtomicBool>,
     pub(super) _descriptor: OwnedSemaphorePermit,
 }
@@ -33,7 +33,7 @@
 impl CountedIo {
     fn check_writable(&self) -> io::Result<()> {
         if !self.progress.may_write(self.backend_closed.load(Relaxed)) {
-            return Err(io::Error::other("nothing is to be written any more"));
+            return Err(io::Error::other("the attempt was given up or the backend was closed"));
         }
         if self.progress.is_unwritten_on_reused_connection() {
             self.check_nothing_received()?;
@@ -41,15 +41,16 @@
         Ok(())
     }
 
-    /// Guards answers: bytes that wait here before a request belong to none, and would be read as its answer. The
-    /// runtime may not have seen them yet, nor that the other side has closed.
+    /// Fails if the socket holds unread bytes or the backend has closed the connection. Bytes received before a request
+    /// is sent would otherwise be read as its response. The socket itself is checked because the runtime may not have
+    /// noticed either yet.
     fn check_nothing_received(&self) -> io::Result<()> {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(self.inner.inner()).peek(&mut byte) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(()),
             received => {
-                let _ = received.inspect_err(|e| socket_errors::record_failure(self.addr, "look", e));
-                Err(io::Error::other("the connection is of no further use"))
+                let _ = received.inspect_err(|e| socket_errors::record_failure(self.addr, "peek", e));
+                Err(io::Error::other("the idle connection was closed or holds unexpected bytes"))
             }
         }
     }
--- a/src/net/upstream/counted_io/tests.rs
+++ b/src/net/upstream/counted_io/tests.rs
@@ -1,17 +1,18 @@
-//! What connections still write, and on which sockets.
+//! What a stream to a backend writes after a rejected socket option and after an abandoned exchange.
 
 use super::*;
 use crate::net::upstream::dialer::Dialer;
 use crate::net::upstream::tests::upstream_shared;
 use sedgestack::Outcome;
-/// The option is set for speed alone. Here the socket is of another family, which has no such option.
+
+/// The no-delay option only affects speed. This test uses a Unix socket, which does not support it.
 #[tokio::test]
-async fn a_connection_that_refuses_no_delay_is_used_all_the_same() {
+async fn connection_that_rejects_no_delay_is_still_used() {
     let (near, far) = std::os::unix::net::UnixStream::pair().unwrap();
     near.set_nonblocking(true).unwrap();
     let near = std::net::TcpStream::from(std::os::fd::OwnedFd::from(near));
     let stream = TcpStream::from_std(near).unwrap();
-    assert!(stream.set_nodelay(true).is_err(), "it has no such option");
+    assert!(stream.set_nodelay(true).is_err(), "Unix sockets have no such option");
     let (shared, _mailbox) = upstream_shared();
     let descriptor = shared.sockets.clone().try_acquire_owned().unwrap();
     let addr = "127.0.0.1:1".parse().unwrap();
@@ -24,9 +25,9 @@
     assert_eq!(&read, b"POST /");
 }
 
-/// The client library may still hold a part of the request.
+/// The HTTP library may still hold part of the request when the exchange is abandoned.
 #[tokio::test]
-async fn nothing_is_written_after_an_exchange_was_abandoned() {
+async fn nothing_is_written_after_exchange_is_abandoned() {
     let (near, far) = std::os::unix::net::UnixStream::pair().unwrap();
     near.set_nonblocking(true).unwrap();
     far.set_nonblocking(true).unwrap();
@@ -44,7 +45,7 @@
     let rest = [std::io::IoSlice::new(b"rest")];
     let written = std::future::poll_fn(|cx| Pin::new(&mut io).poll_write_vectored(cx, &rest)).await;
     assert!(written.is_err());
-    assert_eq!(io.progress.outcome_of_break(), Outcome::ConnectFailed, "it never ran");
+    assert_eq!(io.progress.outcome_of_broken_exchange(), Outcome::ConnectFailed, "the request never ran");
     drop(io);
     let mut received = Vec::new();
     std::io::Read::read_to_end(&mut { far }, &mut received).unwrap();
--- a/src/net/upstream/dialer.rs
+++ b/src/net/upstream/dialer.rs
@@ -20,13 +20,13 @@
 #[derive(Clone)]
 pub(super) struct Dialer {
     pub(super) addr: SocketAddr,
-    /// Set once no further request may begin to be written to the backend.
+    /// Set once no further request may be sent to the backend.
     pub(super) backend_closed: Arc<AtomicBool>,
     pub(super) shared: Arc<UpstreamShared>,
 }
 
 impl Dialer {
-    /// Opens a connection; a failure is counted and logged.
+    /// Opens a connection. Counts and logs a failure.
     pub(super) async fn dial(self) -> io::Result<Connection> {
         COUNTERS.dials.increment();
         let addr = self.addr;
@@ -43,8 +43,8 @@
         Connection::start(self.counted_io(stream, descriptor)).await.map_err(io::Error::other)
     }
 
-    /// Takes a connection that came up into use. Guards it: one that refuses an option set for speed alone serves all
-    /// the same, and to drop it would be to dial for every attempt.
+    /// Wraps a newly opened connection. If the socket rejects the no-delay option, the connection is used anyway: the
+    /// option only affects speed, and dropping the connection would cause a new dial for every attempt.
     pub(super) fn counted_io(self, stream: TcpStream, descriptor: OwnedSemaphorePermit) -> CountedIo {
         socket_errors::disable_nagle(&stream, self.addr);
         CountedIo {
--- a/src/net/upstream/exchange_progress.rs
+++ b/src/net/upstream/exchange_progress.rs
@@ -1,55 +1,56 @@
-//! How far the exchange of a request on a connection has come, and what follows for its request if it breaks off.
+//! The progress of the current exchange on a connection, and the outcome of its attempt if the exchange breaks.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use sedgestack::Outcome;
 
-/// Length of the blank line that ends a head, with the line break before it.
+/// Length of the `\r\n\r\n` that ends a head.
 const HEAD_END_BYTES: u64 = 4;
 
-/// How far the exchange of the request under way has come, by the bytes that the socket took and gave.
+/// The stage of the current exchange, derived from the bytes that were written to and read from the socket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ExchangeState {
-    /// The socket has taken no byte of the request.
+    /// The socket has accepted no byte of the request.
     #[default]
     NothingWritten,
-    /// The socket has taken a part of the request, without its last byte.
+    /// The socket has accepted part of the request, but not its last byte.
     PartlyWritten,
-    /// The socket has taken the last byte of the request.
-    WrittenWhole,
-    /// The head of the answer was read, its last byte was not.
-    AnswerBegun,
-    /// The answer was read to its last byte.
-    Answered,
+    /// The socket has accepted the last byte of the request.
+    FullyWritten,
+    /// The head of the response has been read, but not its last byte.
+    ResponseStarted,
+    /// The response has been read to its last byte.
+    ResponseComplete,
 }
 
 impl ExchangeState {
-    /// Whether the backend may have run the request. Every outcome by which a request may be repeated goes by this.
+    /// Whether the backend may have run the request. All outcomes that allow a request to be repeated depend on this.
     pub(super) fn may_have_run(self) -> bool {
         match self {
             ExchangeState::NothingWritten | ExchangeState::PartlyWritten => false,
-            // An answer that has begun shows that the backend took the request up, however much of it was written.
-            ExchangeState::WrittenWhole | ExchangeState::AnswerBegun | ExchangeState::Answered => true,
+            // A response shows that the backend is processing the request, however much of the request was written.
+            ExchangeState::FullyWritten
+            | ExchangeState::ResponseStarted
+            | ExchangeState::ResponseComplete => true,
         }
     }
 }
 
-/// The progress of the request under way on a connection.
+/// The progress of the current request on a connection.
 ///
 /// # Invariant
 ///
-/// "Could not connect" ([`Outcome::ConnectFailed`]: the request can't have run, so that it may be repeated) is said only
-/// where the socket has not taken the last byte of the request and no answer to it has begun. Otherwise the exchange was
-/// reset ([`Outcome::Reset`]) or timed out ([`Outcome::TimedOut`]): the request may have run.
+/// [`Outcome::ConnectFailed`], which means that the request cannot have run and may be repeated, is reported only if
+/// the socket has not accepted the last byte of the request and no response to it has started. In all other cases the
+/// outcome is [`Outcome::Reset`] or [`Outcome::TimedOut`]: the request may have run.
 ///
-/// It holds because
-/// - the state belongs to one request: [`ExchangeProgress::begin_request`] is called before the client library gets it,
-///   and only once the answer to the one before was read;
-/// - within a request the state only moves forward;
-/// - only bytes that the socket took are recorded, each after the call that wrote it;
-/// - a backend runs a request only once all of it has come;
-/// - an exchange that was given up writes no further byte ([`ExchangeProgress::abandon`]), so that what was proved
-///   stays true.
+/// The invariant holds because
+/// - the state belongs to a single request: [`ExchangeProgress::begin_request`] is called before the HTTP library
+///   receives the request, and only after the response to the previous request has been read;
+/// - while a request is in progress, the state only moves forward;
+/// - only bytes that the socket accepted are recorded, each after the call that wrote it;
+/// - a backend runs a request only after it has received all of it;
+/// - an abandoned exchange writes no further byte ([`ExchangeProgress::abandon`]), so the outcome stays valid.
 #[derive(Debug, Default)]
 pub(super) struct ExchangeProgress {
     exchange: Mutex<Exchange>,
@@ -59,11 +60,11 @@
 struct Exchange {
     state: ExchangeState,
     written: WrittenBytes,
-    /// Length of the body of the request under way.
+    /// Body length of the current request.
     body_length: u64,
-    /// Requests begun on the connection, the one under way included.
-    requests: u64,
-    /// Given up: not a byte more is written.
+    /// Number of requests started on the connection, including the current one.
+    request_count: u64,
+    /// The exchange was abandoned: no further byte may be written.
     is_abandoned: bool,
 }
 
@@ -72,21 +73,21 @@
         self.exchange.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The state of the request under way.
+    /// The state of the current exchange.
     pub(super) fn state(&self) -> ExchangeState {
         self.exchange().state
     }
 
-    /// A request with a body of this length is given to the connection.
+    /// Starts a new exchange for a request with a body of `body_length` bytes.
     pub(super) fn begin_request(&self, body_length: u64) {
         let mut exchange = self.exchange();
         exchange.state = ExchangeState::NothingWritten;
         exchange.written = WrittenBytes::default();
         exchange.body_length = body_length;
-        exchange.requests += 1;
+        exchange.request_count += 1;
     }
 
-    /// The socket took these bytes of the request under way.
+    /// Records that the socket accepted these bytes of the current request.
     pub(super) fn record_written(&self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
@@ -94,49 +95,50 @@
         let mut exchange = self.exchange();
         exchange.written.record(bytes);
         if !exchange.state.may_have_run() {
-            let is_whole = exchange.written.is_whole(exchange.body_length);
+            let is_complete = exchange.written.is_complete(exchange.body_length);
             exchange.state =
-                if is_whole { ExchangeState::WrittenWhole } else { ExchangeState::PartlyWritten };
+                if is_complete { ExchangeState::FullyWritten } else { ExchangeState::PartlyWritten };
         }
     }
 
-    /// The head of the answer was read.
-    pub(super) fn record_answer_begun(&self) {
-        self.exchange().state = ExchangeState::AnswerBegun;
+    /// Records that the head of the response was read.
+    pub(super) fn record_response_started(&self) {
+        self.exchange().state = ExchangeState::ResponseStarted;
     }
 
-    /// The answer was read to its last byte.
-    pub(super) fn record_answered(&self) {
-        self.exchange().state = ExchangeState::Answered;
+    /// Records that the response was read to its last byte.
+    pub(super) fn record_response_complete(&self) {
+        self.exchange().state = ExchangeState::ResponseComplete;
     }
 
-    /// Gives the exchange up: from now on nothing is written.
+    /// Abandons the exchange: nothing more is written on this connection.
     pub(super) fn abandon(&self) {
         self.exchange().is_abandoned = true;
     }
 
-    /// Guards graceful shutdowns: a request that waited for its connection while the backend began to drain must not
-    /// begin to be written. Its attempt ends as never sent.
+    /// Whether bytes of the current request may be written. If the backend was closed, for example because it started
+    /// to drain while the request waited for its connection, a request of which nothing was written must not be sent;
+    /// its attempt ends with [`Outcome::NotSent`].
     pub(super) fn may_write(&self, backend_closed: bool) -> bool {
         let exchange = self.exchange();
         let begins = exchange.state == ExchangeState::NothingWritten;
         !(exchange.is_abandoned || (backend_closed && begins))
     }
 
-    /// Whether the connection served requests before, and has taken no byte of the one under way.
+    /// Whether the connection has carried earlier requests and has accepted no byte of the current one.
     pub(super) fn is_unwritten_on_reused_connection(&self) -> bool {
         let exchange = self.exchange();
-        exchange.requests > 1 && exchange.state == ExchangeState::NothingWritten
+        exchange.request_count > 1 && exchange.state == ExchangeState::NothingWritten
     }
 
-    /// Whether the socket took the last byte of the request under way.
-    pub(super) fn is_written_whole(&self) -> bool {
+    /// Whether the socket has accepted the last byte of the current request.
+    pub(super) fn is_fully_written(&self) -> bool {
         let exchange = self.exchange();
-        exchange.written.is_whole(exchange.body_length)
+        exchange.written.is_complete(exchange.body_length)
     }
 
-    /// How an attempt ends whose exchange broke off.
-    pub(super) fn outcome_of_break(&self) -> Outcome {
+    /// The outcome of the attempt if its exchange breaks now.
+    pub(super) fn outcome_of_broken_exchange(&self) -> Outcome {
         if self.state().may_have_run() {
             Outcome::Reset
         } else {
@@ -144,7 +146,7 @@
         }
     }
 
-    /// How an attempt ends whose exchange was given up at its deadline.
+    /// The outcome of the attempt if its deadline passes now.
     pub(super) fn outcome_at_deadline(&self) -> Outcome {
         if self.state().may_have_run() {
             Outcome::TimedOut
@@ -154,12 +156,12 @@
     }
 }
 
-/// What the socket took of a request.
+/// The part of a request that the socket has accepted.
 #[derive(Debug, Default)]
 struct WrittenBytes {
-    /// How much of the blank line after the head.
+    /// Bytes of the `\r\n\r\n` after the head that have been matched.
     head_end: u64,
-    /// How much of the body.
+    /// Bytes of the body that were accepted.
     body: u64,
 }
 
@@ -170,13 +172,13 @@
         self.body += body.len() as u64;
     }
 
-    fn is_whole(&self, body_length: u64) -> bool {
+    fn is_complete(&self, body_length: u64) -> bool {
         self.head_end == HEAD_END_BYTES && self.body >= body_length
     }
 }
 
-/// Looks for the blank line that ends a head, of which `matched` bytes came before: how many of its bytes have come
-/// after `bytes`, and what of `bytes` is body.
+/// Searches `bytes` for the `\r\n\r\n` that ends a head; `matched` bytes of it were found before. Returns the number of
+/// its bytes found so far, and the part of `bytes` that belongs to the body.
 fn match_head_end(mut matched: u64, bytes: &[u8]) -> (u64, &[u8]) {
     let mut rest = bytes;
     while let (Some((byte, after)), true) = (rest.split_first(), matched < HEAD_END_BYTES) {
--- a/src/net/upstream/exchange_progress/tests.rs
+++ b/src/net/upstream/exchange_progress/tests.rs
@@ -1,4 +1,4 @@
-//! What the recorded bytes prove, against a reference that knows all of them.
+//! Compares the outcomes derived from recorded bytes with a reference model that knows all bytes.
 
 use super::*;
 use crate::net::fixed_seed_config;
@@ -6,17 +6,17 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A request with such a body is given to the connection, if none is under way.
+    /// Starts a request with a body of this length, if none is in progress.
     Begin { body_length: usize },
-    /// The socket takes so many bytes at most of the request under way.
+    /// The socket accepts at most this many bytes of the current request.
     Write { max_bytes: usize },
-    /// The answer's head is read, however much was written.
-    AnswerHead,
-    /// The answer's last byte is read, if its head was.
-    AnswerEnd,
-    /// The backend begins to drain.
+    /// The response head is read, however much of the request was written.
+    ResponseHead,
+    /// The last byte of the response is read, if its head was read before.
+    ResponseEnd,
+    /// The backend starts to drain.
     Drain,
-    /// The attempt is given up: its deadline passed, its client left, or its window closed.
+    /// The attempt is given up: its deadline or write deadline passed, or its client disconnected.
     Abandon,
 }
 
@@ -24,14 +24,14 @@
     prop_oneof![
         2 => (0usize..40).prop_map(|body_length| Step::Begin { body_length }),
         6 => (1usize..80).prop_map(|max_bytes| Step::Write { max_bytes }),
-        1 => Just(Step::AnswerHead),
-        3 => Just(Step::AnswerEnd),
+        1 => Just(Step::ResponseHead),
+        3 => Just(Step::ResponseEnd),
         1 => Just(Step::Drain),
         1 => Just(Step::Abandon),
     ]
 }
 
-/// The request under way as the reference knows it: plain facts, no states.
+/// The current request in the reference model, described by its bytes rather than by a state.
 struct ReferenceRequest {
     bytes: Vec<u8>,
     written: usize,
@@ -40,22 +40,22 @@
 
 impl ReferenceRequest {
     fn new(body_length: usize) -> ReferenceRequest {
-        // A head with what looks like its end, and a body of nothing else.
+        // The head contains sequences that resemble its end, and the body consists of such ends only.
         let mut bytes = b"POST /send/1 HTTP/1.1\r\nX-Odd: \r \r\r\n\r\n".to_vec();
         bytes.extend(b"\r\n\r\n".iter().cycle().take(body_length));
         ReferenceRequest { bytes, written: 0, is_head_read: false }
     }
 
-    fn is_written_whole(&self) -> bool {
+    fn is_fully_written(&self) -> bool {
         self.written == self.bytes.len()
     }
 
     fn may_have_run(&self) -> bool {
-        self.is_written_whole() || self.is_head_read
+        self.is_fully_written() || self.is_head_read
     }
 }
 
-/// What is known of a connection, and the record of it that is tested.
+/// The reference model of a connection, with the progress record under test.
 #[derive(Default)]
 struct Reference {
     progress: ExchangeProgress,
@@ -76,12 +76,12 @@
                 self.progress.record_written(&request.bytes[request.written..end]);
                 request.written = end;
             }
-            (Step::AnswerHead, Some(request)) => {
+            (Step::ResponseHead, Some(request)) => {
                 request.is_head_read = true;
-                self.progress.record_answer_begun();
+                self.progress.record_response_started();
             }
-            (Step::AnswerEnd, Some(request)) if request.is_head_read && request.is_written_whole() => {
-                self.progress.record_answered();
+            (Step::ResponseEnd, Some(request)) if request.is_head_read && request.is_fully_written() => {
+                self.progress.record_response_complete();
                 self.request = None;
             }
             (Step::Drain, _) => self.is_draining = true,
@@ -93,17 +93,17 @@
         }
     }
 
-    /// At every moment a break, the deadline and a withdrawal find just what the bytes prove.
+    /// Asserts that a break, a deadline or a withdrawal at this moment has the outcome that the bytes prove.
     fn check(&self) {
         let Some(request) = &self.request else { return };
         let may_have_run = request.may_have_run();
         assert_eq!(self.progress.state().may_have_run(), may_have_run);
-        assert_eq!(self.progress.is_written_whole(), request.is_written_whole());
+        assert_eq!(self.progress.is_fully_written(), request.is_fully_written());
         let (broken, late) = match may_have_run {
             true => (Outcome::Reset, Outcome::TimedOut),
             false => (Outcome::ConnectFailed, Outcome::ConnectFailed),
         };
-        assert_eq!(self.progress.outcome_of_break(), broken);
+        assert_eq!(self.progress.outcome_of_broken_exchange(), broken);
         assert_eq!(self.progress.outcome_at_deadline(), late);
         let begins = request.written == 0 && !request.is_head_read;
         let may_write = !(self.is_abandoned || self.is_draining && begins);
@@ -113,9 +113,9 @@
 
 proptest! {
     #![proptest_config(fixed_seed_config(2048))]
-    /// Written bytes, answers, drains and given-up attempts in any order, over any number of requests.
+    /// Applies written bytes, responses, drains and abandoned attempts in any order, over any number of requests.
     #[test]
-    fn a_request_counts_as_never_run_only_without_its_last_byte_and_without_an_answer(
+    fn request_counts_as_never_run_only_without_last_byte_and_response(
         steps in prop::collection::vec(step(), 1..80)
     ) {
         let mut reference = Reference::default();
@@ -126,25 +126,26 @@
     }
 }
 
-/// After an answer to half a request the bytes prove nothing: the request may have run.
+/// A response to a partly written request means that the request may have run.
 #[test]
-fn after_an_early_answer_a_break_counts_as_reset() {
+fn break_after_early_response_counts_as_reset() {
     let progress = ExchangeProgress::default();
     progress.begin_request(8);
     progress.record_written(b"POST /");
-    progress.record_answer_begun();
-    assert_eq!(progress.outcome_of_break(), Outcome::Reset);
+    progress.record_response_started();
+    assert_eq!(progress.outcome_of_broken_exchange(), Outcome::Reset);
 }
 
-/// The request before proves nothing about the next one, and only a connection that served one counts as reused.
+/// The bytes of one request do not affect the next one, and only a connection that has served a request counts as
+/// reused.
 #[test]
-fn each_request_on_a_connection_is_judged_by_its_own_bytes() {
+fn each_request_is_judged_by_its_own_bytes() {
     let progress = ExchangeProgress::default();
     progress.begin_request(0);
     assert!(!progress.is_unwritten_on_reused_connection());
     progress.record_written(b"GET / HTTP/1.1\r\n\r\n");
-    progress.record_answer_begun();
-    progress.record_answered();
+    progress.record_response_started();
+    progress.record_response_complete();
     assert_eq!(progress.outcome_at_deadline(), Outcome::TimedOut);
     progress.begin_request(0);
     assert!(progress.is_unwritten_on_reused_connection());
--- a/src/net/upstream/health_check.rs
+++ b/src/net/upstream/health_check.rs
@@ -12,39 +12,39 @@
 
 const HEALTH_PATH: PathAndQuery = PathAndQuery::from_static("/health");
 
-/// What a health check found.
+/// The result of a health check.
 pub(super) struct HealthCheckResult {
     pub(super) outcome: Outcome,
     pub(super) report: LoadReport,
 }
 
 impl HealthCheckResult {
-    fn without_answer(outcome: Outcome) -> HealthCheckResult {
+    fn without_response(outcome: Outcome) -> HealthCheckResult {
         HealthCheckResult { outcome, report: LoadReport::default() }
     }
 }
 
-/// Asks the backend that `host` names for its health, until `deadline`.
+/// Checks the health of the backend that `host` names. The check times out at `deadline`.
 pub(super) async fn check_health(
     pool: &Pool,
     host: &HeaderValue,
     names: &NameIndex,
     deadline: Instant,
 ) -> HealthCheckResult {
-    let ended = timeout_at(deadline, ask_health(pool, host, names)).await;
-    ended.unwrap_or_else(|_| HealthCheckResult::without_answer(Outcome::TimedOut))
+    let ended = timeout_at(deadline, request_health(pool, host, names)).await;
+    ended.unwrap_or_else(|_| HealthCheckResult::without_response(Outcome::TimedOut))
 }
 
-async fn ask_health(pool: &Pool, host: &HeaderValue, names: &NameIndex) -> HealthCheckResult {
+async fn request_health(pool: &Pool, host: &HeaderValue, names: &NameIndex) -> HealthCheckResult {
     let Ok(mut connection) = pool.acquire().await else {
-        return HealthCheckResult::without_answer(Outcome::ConnectFailed);
+        return HealthCheckResult::without_response(Outcome::ConnectFailed);
     };
     let Ok(response) = connection.send(build_get(host, HEALTH_PATH)).await else {
-        return HealthCheckResult::without_answer(Outcome::ConnectFailed);
+        return HealthCheckResult::without_response(Outcome::ConnectFailed);
     };
     let outcome = if response.status() == StatusCode::OK { Outcome::Ok } else { Outcome::Error };
     let report = load_report(response.headers(), names);
-    // The body says nothing more; the client library skips it, or closes the connection.
+    // The body is not needed. Dropping the response makes the HTTP library skip the body or close the connection.
     drop(response);
     pool.release(connection);
     HealthCheckResult { outcome, report }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,9 +1,10 @@
-//! The side towards backends: an actor for each backend, with its attempts, its pool of connections and its health
-//! checks.
+//! The upstream side: one actor per backend, which runs the attempts and health checks at that backend and owns its
+//! connection pool.
 //!
-//! The way of an attempt through these modules: `actor` takes the command, `attempt` runs it: `pool` gives it a
-//! connection, which `dialer` opens where none is idle, `request` builds what is written, `connection` sends it,
-//! `counted_io` tells `exchange_progress` of the bytes that its socket takes, `response` reads the answer.
+//! An attempt passes through these modules as follows. `actor` receives the command and `attempt` runs it. `pool`
+//! provides a connection, which `dialer` opens if none is idle. `request` builds the HTTP request and `connection`
+//! sends it, while `counted_io` reports the bytes that the socket accepts to `exchange_progress`. `response` reads the
+//! response.
 
 mod actor;
 mod attempt;
@@ -29,23 +30,24 @@
 pub use actor::{BackendCommand, BackendHandle};
 pub use attempt::Attempt;
 
-/// The largest body of a request or an answer on the platform.
+/// Maximum size of a request body or response body.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// What the actors of all backends share.
+/// State shared by the actors of all backends.
 pub struct UpstreamShared {
     pub names: NameIndex,
     pub connect_timeout: Duration,
-    /// After this time without a request, a backend closes a connection.
+    /// Idle time after which a backend closes a connection.
     pub keepalive: Duration,
-    /// Descriptors for connections to backends.
+    /// Limits the file descriptors used for connections to backends; each connection holds one permit.
     pub sockets: Arc<Semaphore>,
+    /// The control actor's mailbox.
     pub control: mpsc::Sender<Message>,
     pub stats: Arc<AdminStats>,
 }
 
 impl UpstreamShared {
-    /// Whether no descriptor is left for a further connection.
+    /// Whether no file descriptor is left for another connection.
     fn is_out_of_descriptors(&self) -> bool {
         self.sockets.available_permits() == 0
     }
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -11,11 +11,12 @@
 use super::connection::Connection;
 use super::dialer::Dialer;
 
-/// Idle connections are closed here after this part of the time at which the backend closes them.
+/// An idle connection is closed after the backend's keep-alive time divided by this number, well before the backend
+/// closes it.
 const KEEPALIVE_DIVISOR: u32 = 3;
 
-/// The connections to one backend. A connection is out of the pool while it carries a request, so that its holder alone
-/// knows how far the request has come; clones share the connections.
+/// The pool of connections to one backend. A connection leaves the pool while it carries a request, so that the
+/// progress it records belongs to that request alone. Clones share the connections.
 #[derive(Clone)]
 pub(super) struct Pool {
     dialer: Dialer,
@@ -23,7 +24,7 @@
 }
 
 impl Pool {
-    /// A pool whose connections `dialer` opens.
+    /// Creates a pool that opens its connections with `dialer`.
     pub(super) fn new(dialer: Dialer) -> Pool {
         let idle = IdleConnections {
             timeout: dialer.shared.keepalive / KEEPALIVE_DIVISOR,
@@ -33,8 +34,9 @@
         Pool { dialer, idle: Arc::new(idle) }
     }
 
-    /// Takes the connection that became idle last, else opens one. Where one becomes idle while it is being opened, that
-    /// one is taken; the new one is kept for the next request, or closed when it has been idle for too long.
+    /// Returns the most recently used idle connection, or opens a new one. If another connection becomes idle while the
+    /// new one is being opened, that connection is returned, and the new one joins the idle connections once it is
+    /// open.
     pub(super) async fn acquire(&self) -> io::Result<Connection> {
         if let Some(connection) = self.idle.take() {
             return Ok(connection);
@@ -45,7 +47,7 @@
                 biased;
                 () = self.idle.released.notified() => {
                     if let Some(connection) = self.idle.take() {
-                        self.keep_once_dialled(dial);
+                        self.keep_when_connected(dial);
                         return Ok(connection);
                     }
                 }
@@ -54,17 +56,17 @@
         }
     }
 
-    fn keep_once_dialled(&self, dial: impl Future<Output = io::Result<Connection>> + Send + 'static) {
+    fn keep_when_connected(&self, dial: impl Future<Output = io::Result<Connection>> + Send + 'static) {
         let idle = self.idle.clone();
         tokio::spawn(async move {
-            // The dialer counts and logs failures.
+            // The dialer has already counted and logged a failure.
             if let Ok(connection) = dial.await {
                 idle.add(connection);
             }
         });
     }
 
-    /// Gives a connection back whose answer was read, for the next request.
+    /// Returns a connection to the pool after its response was read.
     pub(super) fn release(&self, mut connection: Connection) {
         if connection.is_ready() {
             return self.idle.add(connection);
@@ -86,17 +88,17 @@
 
 #[derive(Default)]
 struct IdleList {
-    /// In the order in which they became idle, and so in that in which they expire.
+    /// Ordered by the time at which they became idle, and therefore also by expiry.
     connections: Vec<IdleConnection>,
-    /// A task closes those that expire.
-    is_watched: bool,
+    /// Whether a task is running that closes expired connections.
+    has_expiry_task: bool,
 }
 
-/// The connections that carry no request, and who waits for one.
+/// The connections that carry no request, and the notification for callers that wait for one.
 struct IdleConnections {
     timeout: Duration,
     list: Mutex<IdleList>,
-    /// Notified for each connection that becomes idle.
+    /// Notified whenever a connection becomes idle.
     released: Notify,
 }
 
@@ -105,7 +107,7 @@
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the one that became idle last, as it is the least likely to be closed by the backend.
+    /// Takes the connection that became idle last, since the backend is least likely to have closed that one.
     fn take(&self) -> Option<Connection> {
         let now = Instant::now();
         let mut list = self.list();
@@ -121,24 +123,24 @@
         let expires_at = Instant::now() + self.timeout;
         let mut list = self.list();
         list.connections.push(IdleConnection { connection, expires_at });
-        if !std::mem::replace(&mut list.is_watched, true) {
+        if !std::mem::replace(&mut list.has_expiry_task, true) {
             tokio::spawn(close_expired(Arc::downgrade(self)));
         }
         self.released.notify_one();
     }
 
-    /// Closes those that have expired or were closed by the backend; when the next one expires, if there is one.
+    /// Removes the connections that have expired or were closed by the backend. Returns when the next one expires.
     fn remove_expired(&self) -> Option<Instant> {
         let now = Instant::now();
         let mut list = self.list();
         list.connections.retain(|idle| idle.connection.is_ready() && now < idle.expires_at);
         let next = list.connections.first().map(|idle| idle.expires_at);
-        list.is_watched = next.is_some();
+        list.has_expiry_task = next.is_some();
         next
     }
 }
 
-/// Closes connections as they expire, for as long as there are any.
+/// Closes idle connections as they expire, until none are left.
 async fn close_expired(idle: Weak<IdleConnections>) {
     loop {
         let next = idle.upgrade().and_then(|idle| idle.remove_expired());
--- a/src/net/upstream/request.rs
+++ b/src/net/upstream/request.rs
@@ -1,4 +1,4 @@
-//! The request that an attempt writes.
+//! The HTTP requests sent to backends.
 
 use std::net::SocketAddr;
 
@@ -15,11 +15,11 @@
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const DEFAULT_HTTP_PORT: u16 = 80;
 
-/// What `attempt` writes to the backend that `host` names: the client's request, with the time that is left until the
-/// attempt's deadline.
+/// Builds the request that `attempt` sends to the backend that `host` names: the client's request with the time left
+/// until the attempt's deadline.
 ///
-/// The time is told as of this call, so that it is made once the connection is up: a dial may take longer than the
-/// slack that the backend is allowed to count on.
+/// The time left is computed in this call, so call it only once the connection is open: dialling may take longer than
+/// the tolerance that backends allow for this value.
 pub(super) fn build_request(host: &HeaderValue, attempt: &Attempt) -> Request<Full<Bytes>> {
     let forward = &attempt.forward;
     let mut request = Request::new(Full::new(forward.body.clone()));
@@ -39,7 +39,7 @@
     request
 }
 
-/// A `GET` of `path` at the backend that `host` names.
+/// Builds a `GET` request for `path` at the backend that `host` names.
 pub(super) fn build_get(host: &HeaderValue, path: PathAndQuery) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::default());
     *request.uri_mut() = Uri::from(path);
@@ -47,9 +47,9 @@
     request
 }
 
-/// The `Host` header of requests to `addr`.
+/// Returns the `Host` header of requests to `addr`.
 pub(super) fn host_header(addr: SocketAddr) -> HeaderValue {
-    let authority: Authority = addr.to_string().try_into().expect("an address is an authority");
+    let authority: Authority = addr.to_string().try_into().expect("a socket address is a valid authority");
     let host = if addr.port() == DEFAULT_HTTP_PORT { authority.host() } else { authority.as_str() };
-    HeaderValue::from_str(host).expect("an authority is a header's value")
+    HeaderValue::from_str(host).expect("an authority is a valid header value")
 }
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Sending an attempt's request and reading the backend's answer.
+//! Sends an attempt's request and reads the backend's response.
 
 use axum::http::{header, response, HeaderMap, HeaderName, Request, StatusCode};
 use bytes::Bytes;
@@ -16,54 +16,56 @@
 const X_METER: HeaderName = HeaderName::from_static("x-meter");
 const X_SETTLED: HeaderName = HeaderName::from_static("x-settled");
 
-/// Sends `request` and reads the answer to its last byte into `ended`. A connection that can carry a further request
-/// goes back to `pool`.
+/// Sends `request` and reads the complete response into `attempt_outcome`. A connection that can be reused is returned
+/// to `pool`.
 pub(super) async fn exchange(
     pool: &Pool,
     mut connection: Connection,
     request: Request<Full<Bytes>>,
     shared: &UpstreamShared,
-    ended: &mut AttemptOutcome,
+    attempt_outcome: &mut AttemptOutcome,
 ) -> Outcome {
     let response = connection.send(request).await;
     let progress = connection.progress();
-    // Written whole: the last byte was taken before the answer's head was read, or the exchange broke.
-    if progress.is_written_whole() {
+    // Counts the attempt if its request was fully written by the time the response head was read or the exchange broke.
+    if progress.is_fully_written() {
         shared.stats.attempt_written();
     }
     let Ok(response) = response else {
-        return progress.outcome_of_break();
+        return progress.outcome_of_broken_exchange();
     };
     let (head, body) = response.into_parts();
-    if has_two_framings(&head.headers) {
+    if has_conflicting_framing(&head.headers) {
         return Outcome::Reset;
     }
-    record_headers(&head.headers, shared, ended);
-    let outcome = read_body(&head, body, ended).await;
+    record_headers(&head.headers, shared, attempt_outcome);
+    let outcome = read_body(&head, body, attempt_outcome).await;
     if outcome != Outcome::Reset {
-        connection.progress().record_answered();
+        connection.progress().record_response_complete();
         pool.release(connection);
     }
     outcome
 }
 
-/// Guards answers: which of two framings was meant nobody can tell, nor where the next answer begins.
-fn has_two_framings(headers: &HeaderMap) -> bool {
+/// Whether the response has both a content length and a transfer encoding. Its end, and so the start of the next
+/// response on the connection, is then ambiguous.
+fn has_conflicting_framing(headers: &HeaderMap) -> bool {
     headers.contains_key(header::CONTENT_LENGTH) && headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Takes over what the answer's headers say of the backend's load and of the units used.
-fn record_headers(headers: &HeaderMap, shared: &UpstreamShared, ended: &mut AttemptOutcome) {
-    ended.report = load_report(headers, &shared.names);
+/// Records the backend's load and the units used, as the response headers report them.
+fn record_headers(headers: &HeaderMap, shared: &UpstreamShared, attempt_outcome: &mut AttemptOutcome) {
+    attempt_outcome.report = load_report(headers, &shared.names);
     let number = |name| headers.get(name)?.to_str().ok()?.parse::<f64>().ok();
-    ended.metered_usage = number(X_METER).filter(|n| *n >= 1.0 && n.is_finite()).map(|n| (n - 1.0) / 100.0);
-    ended.actual_units = number(X_SETTLED).filter(|n| *n > 0.0 && n.is_finite());
+    attempt_outcome.metered_usage =
+        number(X_METER).filter(|n| *n >= 1.0 && n.is_finite()).map(|n| (n - 1.0) / 100.0);
+    attempt_outcome.actual_units = number(X_SETTLED).filter(|n| *n > 0.0 && n.is_finite());
 }
 
-async fn read_body(head: &response::Parts, body: Incoming, ended: &mut AttemptOutcome) -> Outcome {
+async fn read_body(head: &response::Parts, body: Incoming, attempt_outcome: &mut AttemptOutcome) -> Outcome {
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) if head.status == StatusCode::OK => {
-            ended.body = Some(body.to_bytes());
+            attempt_outcome.body = Some(body.to_bytes());
             Outcome::Ok
         }
         Ok(_) if is_rejection(head.status, &head.headers) => Outcome::Rejected,
@@ -72,7 +74,8 @@
     }
 }
 
-/// Whether an answer proves that the request never ran. Guards repeats: 503 or 504 alone proves nothing.
+/// Whether a response proves that the request never ran, so that it may be repeated. A status of 503 or 504 alone does
+/// not prove that.
 pub(super) fn is_rejection(status: StatusCode, headers: &HeaderMap) -> bool {
     let may_reject = status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::GATEWAY_TIMEOUT;
     may_reject && headers.get(X_NOT_RUN).is_some_and(|v| v == "1")
--- a/src/net/upstream/response/tests.rs
+++ b/src/net/upstream/response/tests.rs
@@ -1,3 +1,5 @@
+//! Which responses count as rejections.
+
 use super::*;
 use axum::http::HeaderValue;
 
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks on real sockets, before backends that a test scripts.
+//! Attempts and health checks on real sockets, against scripted backends.
 
 mod answer_begun;
 
@@ -20,90 +20,109 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// What a scripted backend does with a request; its name is the request's path.
+/// How a scripted backend reacts to a request. The variant's name is the path of the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Conduct {
+enum BackendBehavior {
     Serve,
     Reject,
-    PlainBusy,
+    PlainUnavailable,
     Error,
-    Close,
-    Half,
+    CloseUnanswered,
+    ClosePartway,
     Silent,
-    /// The head of an answer and part of its body, and nothing more.
-    Stalled,
+    /// Sends a response head and part of its body, and then nothing more.
+    StallPartway,
     Cancel,
-    /// Good answers, with more than belongs to them.
-    Early,
-    Odd,
-    Behind,
-    Twice,
-    /// Malformed answers on a connection that stays open.
-    Noise,
-    Endless,
-    Huge,
-    Lengths,
-    Framings,
-    Negative,
+    // Valid responses with unusual headers, or with bytes before or after them.
+    InformationalFirst,
+    MalformedHeaders,
+    ExtraBytes,
+    DuplicateResponse,
+    // Malformed responses on a connection that stays open.
+    NotHttp,
+    EndlessHead,
+    OversizedBody,
+    ConflictingLengths,
+    ConflictingFraming,
+    NegativeLength,
 }
-use Conduct::*;
+use BackendBehavior::*;
 
-const ALL: [Conduct; 19] = [
-    Serve, Reject, PlainBusy, Error, Close, Half, Silent, Stalled, Cancel, Early, Odd, Behind, Twice, Noise,
-    Endless, Huge, Lengths, Framings, Negative,
+const ALL: [BackendBehavior; 19] = [
+    Serve,
+    Reject,
+    PlainUnavailable,
+    Error,
+    CloseUnanswered,
+    ClosePartway,
+    Silent,
+    StallPartway,
+    Cancel,
+    InformationalFirst,
+    MalformedHeaders,
+    ExtraBytes,
+    DuplicateResponse,
+    NotHttp,
+    EndlessHead,
+    OversizedBody,
+    ConflictingLengths,
+    ConflictingFraming,
+    NegativeLength,
 ];
 
-impl Conduct {
-    fn answer(self) -> &'static [u8] {
+impl BackendBehavior {
+    fn response(self) -> &'static [u8] {
         match self {
             Serve => b"HTTP/1.1 200 OK\r\nX-Load: util=0.5\r\nContent-Length: 2\r\n\r\nok",
             Reject => b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
-            PlainBusy => b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+            PlainUnavailable => b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
             Error => b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
-            Half | Stalled => b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha",
-            Close | Silent | Cancel => b"",
-            Early => {
+            ClosePartway | StallPartway => b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha",
+            CloseUnanswered | Silent | Cancel => b"",
+            InformationalFirst => {
                 b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n\
                 HTTP/1.1 200 OK\r\nX-Load: util=0.5\r\nContent-Length: 2\r\n\r\nok"
             }
-            Odd => {
+            MalformedHeaders => {
                 b"HTTP/1.1 200 OK\r\nX-Load: util=much\r\nX-Meter: NaN\r\nX-Settled: inf\r\n\
                 Content-Length: 2\r\n\r\nok"
             }
-            Behind => b"HTTP/1.1 200 OK\r\nX-Load: util=0.5\r\nContent-Length: 2\r\n\r\nok\x07\x00noise",
-            Twice => {
+            ExtraBytes => b"HTTP/1.1 200 OK\r\nX-Load: util=0.5\r\nContent-Length: 2\r\n\r\nok\x07\x00noise",
+            DuplicateResponse => {
                 b"HTTP/1.1 200 OK\r\nX-Load: util=0.5\r\nContent-Length: 2\r\n\r\nok\
                 HTTP/1.1 200 OK\r\nX-Load: util=0.5\r\nContent-Length: 2\r\n\r\nok"
             }
-            Noise => b"\x16\x03\x01 no answer at all\r\n\r\n",
-            Endless => b"HTTP/1.1 200 OK\r\nX-More: and more",
-            Huge => b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand more",
-            Lengths => b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
-            Framings => {
+            NotHttp => b"\x16\x03\x01 no answer at all\r\n\r\n",
+            EndlessHead => b"HTTP/1.1 200 OK\r\nX-More: and more",
+            OversizedBody => b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand more",
+            ConflictingLengths => b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
+            ConflictingFraming => {
                 b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n\
                 2\r\nok\r\n0\r\n\r\n"
             }
-            Negative => b"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok",
+            NegativeLength => b"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok",
         }
     }
 
-    /// The outcome, and whether the connection can be used again.
+    /// The expected outcome, and whether the connection can be reused.
     fn expected(self) -> (Outcome, bool) {
         match self {
             Serve => (Outcome::Ok, true),
             Reject => (Outcome::Rejected, true),
-            PlainBusy | Error => (Outcome::Error, true),
-            Early | Odd => (Outcome::Ok, true),
-            Behind | Twice => (Outcome::Ok, false),
-            Noise | Endless | Huge | Lengths | Framings | Negative => (Outcome::Reset, false),
-            Close | Half => (Outcome::Reset, false),
-            Silent | Stalled => (Outcome::TimedOut, false),
+            PlainUnavailable | Error => (Outcome::Error, true),
+            InformationalFirst | MalformedHeaders => (Outcome::Ok, true),
+            ExtraBytes | DuplicateResponse => (Outcome::Ok, false),
+            NotHttp | EndlessHead | OversizedBody | ConflictingLengths | ConflictingFraming
+            | NegativeLength => (Outcome::Reset, false),
+            CloseUnanswered | ClosePartway => (Outcome::Reset, false),
+            Silent | StallPartway => (Outcome::TimedOut, false),
             Cancel => (Outcome::Canceled, false),
         }
     }
 }
 
-/// Accepts connections and reports each, each request that came whole, and each end.
+/// Serves connections as the requested behaviors say. Reports each accepted connection, each complete request and each
+/// closed connection.
 async fn serve_script(listener: TcpListener, events: mpsc::UnboundedSender<&'static str>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let _ = events.send("accepted");
@@ -118,13 +137,15 @@
                 if !text.ends_with("\r\n\r\nbody") {
                     continue;
                 }
-                let conduct = ALL.iter().find(|c| text.starts_with(&format!("POST /{c:?} "))).unwrap();
+                let behavior = ALL.iter().find(|c| text.starts_with(&format!("POST /{c:?} "))).unwrap();
                 text.clear();
                 let _ = events.send("read");
-                let _ = stream.write_all(conduct.answer()).await;
-                // What has no end goes on for as long as it is read.
-                while matches!(conduct, Endless | Huge) && stream.write_all(&[b'x'; 4096]).await.is_ok() {}
-                if matches!(conduct, Close | Half) {
+                let _ = stream.write_all(behavior.response()).await;
+                // Endless responses are written for as long as the client reads.
+                while matches!(behavior, EndlessHead | OversizedBody)
+                    && stream.write_all(&[b'x'; 4096]).await.is_ok()
+                {}
+                if matches!(behavior, CloseUnanswered | ClosePartway) {
                     break;
                 }
             }
@@ -134,27 +155,27 @@
     }
 }
 
-fn attempt(conduct: Conduct, number: u32, timeout: Duration) -> Attempt {
+fn attempt(behavior: BackendBehavior, number: u32, timeout: Duration) -> Attempt {
     let forward = ForwardedRequest {
         method: Method::POST,
-        path: format!("/{conduct:?}").try_into().unwrap(),
+        path: format!("/{behavior:?}").try_into().unwrap(),
         id: OpenRequestIds::default().claim(HeaderValue::from_static("9b1f03aa5c7e2d41")).unwrap(),
         key: None,
         body: Bytes::from_static(b"body"),
         client_gone: CancellationToken::new(),
     };
-    let begun = Instant::now();
+    let started_at = Instant::now();
     Attempt {
         request: 1,
         number,
         forward: Arc::new(forward),
-        begun,
-        deadline: begun + timeout,
-        written_by: None,
+        started_at,
+        deadline: started_at + timeout,
+        write_deadline: None,
     }
 }
 
-const LONG: Duration = Duration::from_secs(60);
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub(super) fn upstream_shared() -> (Arc<UpstreamShared>, mpsc::Receiver<Message>) {
     let (control, mailbox) = mpsc::channel(64);
@@ -162,7 +183,14 @@
     let names = NameIndex::new(["read"], ["small"], ["util"]);
     let stats = Arc::new(AdminStats::new(["read"]));
     (
-        Arc::new(UpstreamShared { names, connect_timeout: LONG, keepalive: LONG, sockets, control, stats }),
+        Arc::new(UpstreamShared {
+            names,
+            connect_timeout: LONG_TIMEOUT,
+            keepalive: LONG_TIMEOUT,
+            sockets,
+            control,
+            stats,
+        }),
         mailbox,
     )
 }
@@ -170,16 +198,16 @@
 async fn ended_attempt(mailbox: &mut mpsc::Receiver<Message>) -> AttemptOutcome {
     match mailbox.recv().await {
         Some(Message::AttemptEnded(ended)) => ended,
-        _ => panic!("a backend's actor reports how attempts ended"),
+        _ => panic!("expected the end of an attempt"),
     }
 }
 
-/// A backend's actor before a scripted listener.
+/// A backend's actor connected to a scripted listener.
 struct ScriptedBackend {
     handle: BackendHandle,
-    /// What the listener reports.
+    /// Events reported by the listener.
     events: mpsc::UnboundedReceiver<&'static str>,
-    /// The module's mailbox.
+    /// The control actor's mailbox.
     mailbox: mpsc::Receiver<Message>,
     listener_task: AbortHandle,
 }
@@ -195,73 +223,73 @@
     ScriptedBackend { handle, events, mailbox, listener_task }
 }
 
-/// Makes attempts one after another; the model knows whether a connection is open.
-async fn make_attempts(conducts: Vec<Conduct>) {
+/// Makes attempts one after another and tracks whether a connection must be open.
+async fn make_attempts(behaviors: Vec<BackendBehavior>) {
     let ScriptedBackend { handle, mut events, mut mailbox, listener_task } = scripted_backend().await;
     let mut is_connected = false;
-    for (number, conduct) in conducts.into_iter().enumerate() {
+    for (number, behavior) in behaviors.into_iter().enumerate() {
         let number = number as u32;
-        // A deadline can be told from a dial that failed only where no dial is needed.
-        let times_out = matches!(conduct, Silent | Stalled);
+        // On a new connection, a short deadline could pass during the dial, which has another outcome.
+        let times_out = matches!(behavior, Silent | StallPartway);
         if times_out && !is_connected {
             continue;
         }
-        let timeout = if times_out { Duration::from_millis(5) } else { LONG };
-        assert!(handle.send(BackendCommand::Attempt(attempt(conduct, number, timeout))));
+        let timeout = if times_out { Duration::from_millis(5) } else { LONG_TIMEOUT };
+        assert!(handle.send(BackendCommand::Attempt(attempt(behavior, number, timeout))));
         if !is_connected {
-            assert_eq!(events.recv().await, Some("accepted"), "{conduct:?}");
+            assert_eq!(events.recv().await, Some("accepted"), "{behavior:?}");
         }
-        assert_eq!(events.recv().await, Some("read"), "{conduct:?}");
-        if conduct == Cancel {
+        assert_eq!(events.recv().await, Some("read"), "{behavior:?}");
+        if behavior == Cancel {
             handle.send(BackendCommand::Cancel { request: 1, attempt: number });
         }
         let ended = ended_attempt(&mut mailbox).await;
-        let (outcome, is_reusable) = conduct.expected();
-        assert_eq!((ended.attempt, ended.outcome), (number, outcome), "{conduct:?}");
+        let (outcome, is_reusable) = behavior.expected();
+        assert_eq!((ended.attempt, ended.outcome), (number, outcome), "{behavior:?}");
         let is_ok = outcome == Outcome::Ok;
-        assert_eq!(ended.body.as_deref(), is_ok.then_some(&b"ok"[..]), "{conduct:?}");
-        assert_eq!(ended.report.utilization.is_some(), is_ok && conduct != Odd, "{conduct:?}");
-        assert_eq!((ended.metered_usage, ended.actual_units), (None, None), "{conduct:?}");
-        // Guards against an attempt that goes on unseen: its connection ends with it.
+        assert_eq!(ended.body.as_deref(), is_ok.then_some(&b"ok"[..]), "{behavior:?}");
+        assert_eq!(ended.report.utilization.is_some(), is_ok && behavior != MalformedHeaders, "{behavior:?}");
+        assert_eq!((ended.metered_usage, ended.actual_units), (None, None), "{behavior:?}");
+        // The attempt must not continue in the background: its connection closes with it.
         if !is_reusable {
-            assert_eq!(events.recv().await, Some("ended"), "{conduct:?}");
+            assert_eq!(events.recv().await, Some("ended"), "{behavior:?}");
         }
         is_connected = is_reusable;
     }
     handle.close();
-    handle.send(BackendCommand::Attempt(attempt(Serve, 99, LONG)));
-    assert_eq!(ended_attempt(&mut mailbox).await.outcome, Outcome::NotSent, "the backend drains");
+    handle.send(BackendCommand::Attempt(attempt(Serve, 99, LONG_TIMEOUT)));
+    assert_eq!(ended_attempt(&mut mailbox).await.outcome, Outcome::NotSent, "the backend is closed");
     assert!(events.try_recv().is_err());
     listener_task.abort();
 }
 
 proptest! {
     #![proptest_config(fixed_seed_config(48))]
-    /// Each attempt ends as what the backend did proves, on the connection that is open or on a new one.
+    /// The outcome of each attempt matches what the backend did, on an open connection or on a new one.
     #[test]
-    fn attempts_end_as_what_the_backend_did_proves(
-        conducts in prop::collection::vec(
+    fn attempt_outcomes_match_backend_behavior(
+        behaviors in prop::collection::vec(
             prop::sample::select(ALL.to_vec()),
             1..12,
         )
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        runtime.block_on(make_attempts(conducts));
+        runtime.block_on(make_attempts(behaviors));
     }
 }
 
-/// A request that waited for its connection while its backend began to drain is never written.
+/// A request is never written if its backend starts to drain while the connection is being opened.
 #[tokio::test]
-async fn a_connection_that_comes_up_while_draining_takes_no_request() {
+async fn request_is_not_written_if_backend_drains_during_dial() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (shared, _mailbox) = upstream_shared();
     let backend_closed = Arc::new(AtomicBool::new(false));
     let addr = listener.local_addr().unwrap();
     let dialer = Dialer { addr, backend_closed: backend_closed.clone(), shared };
     let actor = BackendActor::new("s-1".into(), dialer);
-    let attempt = actor.attempt_run(attempt(Serve, 0, LONG)).run();
+    let attempt = actor.attempt_run(attempt(Serve, 0, LONG_TIMEOUT)).run();
     tokio::pin!(attempt);
-    assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "it dials");
+    assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "the attempt is dialling");
     backend_closed.store(true, Relaxed);
     assert_eq!(attempt.await.outcome, Outcome::NotSent);
     let (mut stream, _) = listener.accept().await.unwrap();
@@ -269,37 +297,38 @@
     assert_eq!(stream.read(&mut [0; 1]).await.unwrap(), 0, "nothing was written");
 }
 
-/// A copy of an answer that comes behind it, before the runtime looks, is not the next request's answer.
+/// A second copy of a response, which arrives before the runtime polls the socket, must not be read as the response to
+/// the next request.
 #[tokio::test]
-async fn bytes_received_before_a_request_are_not_its_answer() {
+async fn bytes_received_before_a_request_are_not_its_response() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (shared, mut mailbox) = upstream_shared();
     let handle = BackendHandle::start("s-1".into(), listener.local_addr().unwrap(), shared);
     let mut streams = Vec::new();
-    for (number, answer) in [b"ok", b"no"].into_iter().enumerate() {
-        handle.send(BackendCommand::Attempt(attempt(Serve, number as u32, LONG)));
+    for (number, body) in [b"ok", b"no"].into_iter().enumerate() {
+        handle.send(BackendCommand::Attempt(attempt(Serve, number as u32, LONG_TIMEOUT)));
         let (mut stream, _) = tokio::select! {
             accepted = listener.accept() => accepted.unwrap(),
-            ended = ended_attempt(&mut mailbox) => panic!("answered by what came before: {ended:?}"),
+            ended = ended_attempt(&mut mailbox) => panic!("stale bytes were read as the response: {ended:?}"),
         };
         let mut text = Vec::new();
         while !text.ends_with(b"\r\n\r\nbody") {
             stream.read_buf(&mut text).await.unwrap();
         }
         let head = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n";
-        stream.write_all(&[&head[..], answer].concat()).await.unwrap();
-        assert_eq!(ended_attempt(&mut mailbox).await.body.as_deref(), Some(&answer[..]));
-        stream.try_write(Serve.answer()).unwrap();
+        stream.write_all(&[&head[..], body].concat()).await.unwrap();
+        assert_eq!(ended_attempt(&mut mailbox).await.body.as_deref(), Some(&body[..]));
+        stream.try_write(Serve.response()).unwrap();
         streams.push(stream);
     }
 }
 
-/// Connections at a backend are scarce, and a new one costs time.
+/// Backends accept few connections, and opening one takes time.
 #[tokio::test]
-async fn attempts_one_after_another_share_one_connection() {
+async fn sequential_attempts_share_a_connection() {
     let ScriptedBackend { handle, mut events, mut mailbox, listener_task } = scripted_backend().await;
     for number in 0..20 {
-        handle.send(BackendCommand::Attempt(attempt(Serve, number, LONG)));
+        handle.send(BackendCommand::Attempt(attempt(Serve, number, LONG_TIMEOUT)));
         assert_eq!(ended_attempt(&mut mailbox).await.outcome, Outcome::Ok);
     }
     let mut all = Vec::new();
@@ -311,43 +340,43 @@
 }
 
 #[tokio::test]
-async fn a_health_check_reports_the_load() {
+async fn health_check_reports_load() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (shared, mut mailbox) = upstream_shared();
     let handle = BackendHandle::start("s-1".into(), listener.local_addr().unwrap(), shared);
-    let begun = Instant::now();
-    handle.send(BackendCommand::Probe { begun, deadline: begun + LONG });
+    let started_at = Instant::now();
+    handle.send(BackendCommand::Probe { started_at, deadline: started_at + LONG_TIMEOUT });
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut head = [0; 12];
     stream.read_exact(&mut head).await.unwrap();
     assert_eq!(&head, b"GET /health ");
-    stream.write_all(Serve.answer()).await.unwrap();
+    stream.write_all(Serve.response()).await.unwrap();
     match mailbox.recv().await {
         Some(Message::HealthChecked { outcome: Outcome::Ok, report, .. }) => {
             assert_eq!(report.utilization, Some(0.5));
         }
-        _ => panic!("a health check that was answered"),
+        _ => panic!("expected a successful health check"),
     }
 }
 
-/// For want of descriptors here, or as nobody listens at the backend.
+/// A dial fails for lack of file descriptors in this process, or because nothing listens at the backend.
 #[tokio::test]
-async fn a_dial_that_fails_proves_that_nothing_ran() {
+async fn failed_dial_proves_that_the_request_did_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (shared, mut mailbox) = upstream_shared();
     let all = shared.sockets.clone().acquire_many_owned(8).await.unwrap();
     let handle = BackendHandle::start("s-1".into(), listener.local_addr().unwrap(), shared);
-    handle.send(BackendCommand::Attempt(attempt(Serve, 0, LONG)));
-    assert_eq!(ended_attempt(&mut mailbox).await.outcome, Outcome::NotSent, "no descriptor is left");
+    handle.send(BackendCommand::Attempt(attempt(Serve, 0, LONG_TIMEOUT)));
+    assert_eq!(ended_attempt(&mut mailbox).await.outcome, Outcome::NotSent, "no file descriptor is left");
     drop((all, listener));
-    handle.send(BackendCommand::Attempt(attempt(Serve, 1, LONG)));
-    assert_eq!(ended_attempt(&mut mailbox).await.outcome, Outcome::ConnectFailed, "nobody listens");
+    handle.send(BackendCommand::Attempt(attempt(Serve, 1, LONG_TIMEOUT)));
+    assert_eq!(ended_attempt(&mut mailbox).await.outcome, Outcome::ConnectFailed, "nothing listens");
 }
 
-/// Operators read the count of attempts that were written whole. Those that timed out were missing in it: they were counted
-/// as the head of their answer was read, or as their connection broke, and neither happens where a backend is silent.
+/// Guards against a published count of fully written attempts that lacks those that timed out. Attempts used to be
+/// counted only when the response head was read or the connection broke, and neither happens if a backend is silent.
 #[tokio::test]
-async fn an_attempt_that_times_out_counts_as_written_whole() {
+async fn timed_out_attempt_counts_as_fully_written() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (shared, mut mailbox) = upstream_shared();
     let handle = BackendHandle::start("s-1".into(), listener.local_addr().unwrap(), shared.clone());
@@ -362,7 +391,7 @@
             assert_eq!(written() - before, 1);
             return;
         }
-        // The machine was too slow to write it in time.
+        // The machine was too slow to write the request in time.
         assert_eq!((ended.outcome, written() - before), (Outcome::ConnectFailed, 0));
         timeout *= 2;
     }
