--- a/src/net/discovery/endpoints.rs
+++ b/src/net/discovery/endpoints.rs
@@ -1,6 +1,6 @@
-//! The endpoints: as discovery and the configuration write them, and the change of them that the module is told.
+//! The endpoint list as discovery and the configuration file write it, and the changes reported to the control actor.
 //!
-//! The names of the types that are read appear in the errors of what can't be read.
+//! The names of the deserialized types appear in error messages about lists that cannot be read.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::net::runtime::metrics::COUNTERS;
 use crate::say;
 
-/// An endpoint list as discovery writes it: the complete one, or the entries that changed.
+/// An endpoint list as discovery writes it: either the complete list or only the entries that changed.
 #[derive(Deserialize)]
 pub struct WireList<S = WireServer> {
     version: u64,
@@ -25,7 +25,7 @@
     }
 }
 
-/// An entry of a watch. Guards the others of its list against one that can't be read.
+/// An entry of a list received through a watch. An unreadable entry must not make the rest of its list unreadable.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub enum WireItem {
@@ -64,14 +64,15 @@
 #[derive(Clone)]
 pub struct EndpointsChange {
     pub version: u64,
-    /// It is the first list of a discovery that took the place of another, whose versions can't be compared with its.
+    /// Whether this is the first list from a discovery service that replaced another one. The versions of the two
+    /// services cannot be compared.
     pub discovery_moved: bool,
-    /// The list is complete: what it lacks is gone.
+    /// Whether the list is complete, so that endpoints missing from it are gone.
     pub complete: bool,
     pub entries: Vec<EndpointEntry>,
 }
 
-/// An endpoint, and where to reach its backend.
+/// An endpoint with the address of its backend.
 #[derive(Clone)]
 pub struct EndpointEntry {
     pub endpoint: Endpoint,
@@ -115,9 +116,9 @@
         let unreadable = received - servers.len();
         if unreadable > 0 {
             COUNTERS.list_unreadable.add(unreadable as u64);
-            say!("list: version {}: {unreadable} entries can't be read", list.version);
+            say!("list: version {}: {unreadable} entries cannot be read", list.version);
         }
-        // Which backend an unreadable entry meant is not known, so none is gone for not being named.
+        // An unreadable entry may describe any backend, so backends missing from the list must not be treated as gone.
         WireList { version: list.version, full: list.full && unreadable == 0, servers }.into()
     }
 }
--- a/src/net/discovery/list_decoder.rs
+++ b/src/net/discovery/list_decoder.rs
@@ -1,46 +1,49 @@
-//! The endpoint lists of a watch, cut from the bytes that arrive.
+//! Splits the byte stream of a watch into endpoint lists.
 
 use bytes::BytesMut;
 use thiserror::Error;
 
 use crate::net::discovery::endpoints::{EndpointsChange, WireItem, WireList};
 
-/// A list longer than this is no endpoint list.
+/// Maximum length of an endpoint list.
 pub(super) const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Why what a watch brings is no list; the watch is opened anew then.
+/// Why the bytes of a watch are not a valid list. The watch is then reopened.
 #[derive(Debug, Error)]
 pub(super) enum ListError {
-    #[error("a list breaks off after {bytes} bytes")]
-    BreaksOff { bytes: usize },
-    #[error("a list: {0}")]
-    Unreadable(#[from] serde_json::Error),
-    #[error("a list without end")]
+    #[error("list ends unexpectedly after {bytes} bytes")]
+    Truncated { bytes: usize },
+    #[error("invalid list: {0}")]
+    Invalid(#[from] serde_json::Error),
+    #[error("list is too long")]
     TooLong,
 }
 
-/// Looks for the end of a list in what arrives, byte by byte: each is looked at once, however long the list is.
+/// Finds the end of a list in the received bytes. Each byte is examined only once, however long the list is.
 #[derive(Default)]
 struct ListEndScanner {
-    /// Bytes looked at of the list that is not whole yet.
+    /// Number of bytes already examined of the incomplete list.
     scanned_bytes: usize,
-    /// Brackets that are open.
+    /// Number of open brackets.
     depth: usize,
-    /// The last byte stands within a string, or behind a backslash in it.
+    /// Whether the last byte is inside a string.
     in_string: bool,
+    /// Whether the last byte is a backslash that escapes the next one.
     is_escaped: bool,
-    /// Nothing but white space has come since the last line break.
+    /// Whether only white space has followed the last line break.
     is_line_blank: bool,
 }
 
 impl ListEndScanner {
-    /// The length of the list at the start of `bytes`, with the white space before it; `None` while it is not whole.
-    /// Guards what follows a list that breaks off, which would be read as its rest: no list has a line break within a
-    /// string, nor an empty line, as heartbeats are.
+    /// Returns the length of the list at the start of `bytes`, including white space before it, or `None` while the
+    /// list is incomplete.
+    ///
+    /// Fails if the list has a line break inside a string or contains an empty line, as heartbeats are. Valid lists
+    /// have neither. Such a list was truncated, and the bytes that follow would otherwise be read as its remainder.
     fn find_end(&mut self, bytes: &[u8]) -> Result<Option<usize>, ListError> {
         for (index, byte) in bytes.iter().enumerate().skip(self.scanned_bytes) {
             if *byte == b'\n' && (self.in_string || (self.depth > 0 && self.is_line_blank)) {
-                return Err(ListError::BreaksOff { bytes: index });
+                return Err(ListError::Truncated { bytes: index });
             }
             self.scan(*byte);
             let is_at_end = !self.in_string && self.depth == 0 && !byte.is_ascii_whitespace();
@@ -66,17 +69,17 @@
     }
 }
 
-/// Puts the lists of a watch together from what arrives.
+/// Assembles the lists of a watch from the received bytes.
 #[derive(Default)]
 pub(super) struct ListDecoder {
-    /// What came after the last whole list.
+    /// The bytes received after the last complete list.
     pub(super) buffer: BytesMut,
     scanner: ListEndScanner,
 }
 
 impl ListDecoder {
-    /// Takes in bytes and gives the changes that they complete. White space between lists is a heartbeat. Guards lists
-    /// that come indented: a line break within one does not end it.
+    /// Processes received bytes and returns the changes that they complete. White space between lists is a heartbeat.
+    /// Lists may be indented: a line break does not end a list.
     pub(super) fn decode(&mut self, bytes: &[u8]) -> Result<Vec<EndpointsChange>, ListError> {
         self.buffer.extend_from_slice(bytes);
         let mut changes = Vec::new();
@@ -88,14 +91,14 @@
         if self.buffer.len() > MAX_LIST_BYTES {
             return Err(ListError::TooLong);
         }
-        // Guards memory: heartbeats of days would add up.
+        // Heartbeats must not accumulate in the buffer over days.
         if !self.is_partial() {
             *self = ListDecoder::default();
         }
         Ok(changes)
     }
 
-    /// Whether a list has come in part.
+    /// Whether part of a list has been received.
     pub(super) fn is_partial(&self) -> bool {
         self.scanner.depth > 0 || self.scanner.in_string
     }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Service discovery: a watch on the service that names the endpoints, and what the module is told of each change.
+//! Service discovery: watches the service that lists the endpoints and reports each change to the control actor.
 
 pub mod endpoints;
 mod list_decoder;
--- a/src/net/discovery/pending_calls.rs
+++ b/src/net/discovery/pending_calls.rs
@@ -1,22 +1,23 @@
-//! Calls to discovery that are not answered yet.
+//! Calls to discovery that have not been answered.
 
 use std::collections::VecDeque;
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Calls kept beside the newest one at most: by then the oldest waits for about as long as a change may be late.
+/// Maximum number of late calls kept in addition to the newest one. When it is exceeded, the oldest call has waited for
+/// about as long as the reporting of a change may be delayed.
 const MAX_LATE_CALLS: usize = 3;
 
-/// A call that ended.
+/// A call that has ended.
 pub(super) struct EndedCall<T> {
     pub(super) result: T,
-    /// No call was made after it.
+    /// Whether no later call was made.
     pub(super) is_newest: bool,
 }
 
-/// The calls that wait for an answer, the oldest first. A late one is kept while further ones are made: where calls
-/// wait in turn at discovery, each that is given up and made anew goes to the end of the queue.
+/// The calls that wait for an answer, oldest first. A late call is kept while further calls are made: if discovery
+/// queues calls, a call that is given up and made again goes to the end of the queue.
 pub(super) struct PendingCalls<T> {
     calls: VecDeque<Pin<Box<dyn Future<Output = T> + Send>>>,
 }
@@ -26,7 +27,7 @@
         PendingCalls { calls: VecDeque::new() }
     }
 
-    /// Adds a call, and gives up the oldest where there are too many.
+    /// Adds a call. Gives up the oldest call if there are too many.
     pub(super) fn push(&mut self, call: impl Future<Output = T> + Send + 'static) {
         if self.calls.len() > MAX_LATE_CALLS {
             self.calls.pop_front();
@@ -39,7 +40,7 @@
         self.calls.clear();
     }
 
-    /// The call that ends next; never ready while there are none.
+    /// Waits for the next call to end. Never completes while there are no calls.
     pub(super) async fn next(&mut self) -> EndedCall<T> {
         poll_fn(|cx| self.poll_next(cx)).await
     }
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Lists cut from what a watch brings, and when changes are told: in virtual time, on connections without sockets.
+//! Decoding of endpoint lists, and the timing of reported changes in virtual time on in-memory connections.
 
 mod late_calls;
 
@@ -23,7 +23,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Instant};
 
-/// A change of one entry, in one line or indented.
+/// Returns a list with a change of one entry, on one line or indented.
 fn list(version: u64, indented: bool) -> String {
     let state = ["Ready", "Terminating", "Gone"][version as usize % 3];
     let list = json!({"version": version, "full": false, "servers": [
@@ -33,7 +33,7 @@
 
 proptest! {
     #![proptest_config(fixed_seed_config(256))]
-    /// However a watch's bytes are split, it tells the same changes in the same order, indented or not.
+    /// A watch reports the same changes in the same order however its bytes are split, indented or not.
     #[test]
     fn changes_do_not_depend_on_how_bytes_are_split(
         heartbeats in prop::collection::vec(any::<(bool, bool)>(), 1..12),
@@ -62,9 +62,9 @@
     }
 }
 
-/// The others stay, and none is taken for gone as its entry could not be read.
+/// The readable entries are used, and no backend is treated as gone because its entry cannot be read.
 #[test]
-fn an_entry_that_cannot_be_read_affects_no_other() {
+fn unreadable_entry_does_not_affect_others() {
     let text = list(7, false).replace("\"servers\":[", "\"servers\":[{\"id\":\"s-8\",\"state\":\"Odd\"},3,");
     let text = text.replace("\"full\":false", "\"full\":true");
     let changes = ListDecoder::default().decode(text.as_bytes()).expect("a list");
@@ -73,19 +73,19 @@
     assert_eq!((changes[0].version, changes[0].complete, ids.collect::<Vec<_>>()), expected);
 }
 
-/// What follows is not lost: the watch is opened anew.
+/// The bytes after a truncated list are not lost, because the watch is reopened.
 #[test]
-fn a_list_that_breaks_off_ends_the_watch_at_the_next_heartbeat_or_string() {
+fn truncated_list_ends_the_watch_at_the_next_heartbeat() {
     let whole = list(7, true);
     for cut in 1..whole.len() - 2 {
         let mut decoder = ListDecoder::default();
-        let ends = decoder.decode(&whole.as_bytes()[..cut]).is_err() || decoder.decode(b"\n\n").is_err();
-        assert!(ends, "cut after {cut} bytes: {}", &whole[..cut]);
+        let is_error = decoder.decode(&whole.as_bytes()[..cut]).is_err() || decoder.decode(b"\n\n").is_err();
+        assert!(is_error, "cut after {cut} bytes: {}", &whole[..cut]);
     }
 }
 
 #[test]
-fn what_is_no_endpoint_list_ends_the_watch() {
+fn invalid_list_ends_the_watch() {
     for text in ["{\"version\":1}\n", "x", "]", "7\n"] {
         assert!(ListDecoder::default().decode(text.as_bytes()).is_err(), "{text}");
     }
@@ -93,16 +93,16 @@
     assert!(ListDecoder::default().decode(&endless).is_err());
 }
 
-/// The log names why a watch ended by these texts.
+/// The log gives these texts as the reason for the end of a watch.
 #[test]
-fn errors_say_what_is_wrong_with_a_list() {
-    let error = |text: &[u8]| ListDecoder::default().decode(text).err().expect("no list").to_string();
-    assert_eq!(error(b"{\"version\":\n\n"), "a list breaks off after 12 bytes");
-    assert!(error(b"7\n").starts_with("a list: invalid type: integer `7`, expected struct WireList"));
-    assert_eq!(error(&[b"{\"", &*vec![b'x'; MAX_LIST_BYTES]].concat()), "a list without end");
+fn errors_describe_what_is_wrong_with_a_list() {
+    let error = |text: &[u8]| ListDecoder::default().decode(text).err().expect("an invalid list").to_string();
+    assert_eq!(error(b"{\"version\":\n\n"), "list ends unexpectedly after 12 bytes");
+    assert!(error(b"7\n").starts_with("invalid list: invalid type: integer `7`, expected struct WireList"));
+    assert_eq!(error(&[b"{\"", &*vec![b'x'; MAX_LIST_BYTES]].concat()), "list is too long");
 }
 
-/// An end of a connection to discovery.
+/// One end of an in-memory connection to discovery.
 struct TestStream(DuplexStream);
 
 impl Connection for TestStream {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Makes connections whose other ends a test gets.
+/// Opens in-memory connections and passes their other ends to the test.
 #[derive(Clone)]
 struct TestConnector(mpsc::UnboundedSender<(SocketAddr, DuplexStream)>);
 
@@ -160,19 +160,20 @@
     }
 }
 
-/// A watch that has been asked for: from which version, at which discovery, when.
+/// A call that opens a watch: the requested version, the discovery service it was sent to, and the time it was made.
 struct WatchCall {
     stream: DuplexStream,
     index: u64,
+    /// The port identifies the discovery service.
     port: u16,
     at: Instant,
 }
 
 impl WatchCall {
-    /// Answers, with the head of a body without end and `text`.
+    /// Sends a response head without a content length, followed by `text`.
     async fn answer(&mut self, text: &str) {
-        let answer = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{text}");
-        self.stream.write_all(answer.as_bytes()).await.expect("the watch reads");
+        let response = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{text}");
+        self.stream.write_all(response.as_bytes()).await.expect("the watch reads");
     }
 
     async fn send(&mut self, text: &str) {
@@ -180,12 +181,12 @@
     }
 }
 
-/// The watching actor before a discovery whose every call a test answers.
+/// The actor under test, connected to a discovery service that the test controls.
 struct TestDiscovery {
     calls: mpsc::UnboundedReceiver<(SocketAddr, DuplexStream)>,
     changes: mpsc::Receiver<EndpointsChange>,
     addresses: watch::Sender<Addresses>,
-    /// Calls that hang stay open, as does a watch that has fallen silent.
+    /// Keeps the connections of hanging calls and silent watches open.
     held_calls: Vec<WatchCall>,
 }
 
@@ -197,13 +198,13 @@
 impl TestDiscovery {
     fn new() -> TestDiscovery {
         let (dials, calls) = mpsc::unbounded_channel();
-        let (module, changes) = mpsc::channel(64);
+        let (control, changes) = mpsc::channel(64);
         let (address_sender, addresses) = watch::channel(discovery_at(1));
-        tokio::spawn(run(TestConnector(dials), addresses, 1, module));
+        tokio::spawn(run(TestConnector(dials), addresses, 1, control));
         TestDiscovery { calls, changes, addresses: address_sender, held_calls: Vec::new() }
     }
 
-    /// One whose first watch has said `text` and falls silent.
+    /// Creates a service whose first watch sends `text` and then falls silent.
     async fn with_silent_watch(text: &str) -> TestDiscovery {
         let mut discovery = TestDiscovery::new();
         let mut first = discovery.next_call().await;
@@ -213,17 +214,22 @@
     }
 
     async fn next_call(&mut self) -> WatchCall {
-        let (address, mut stream) = self.calls.recv().await.expect("the watch calls");
+        let (address, mut stream) = self.calls.recv().await.expect("the watch makes a call");
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            stream.read_buf(&mut head).await.expect("a head comes");
+            stream.read_buf(&mut head).await.expect("a request head is received");
         }
         let text = String::from_utf8(head).expect("text");
         let index = text.split_once("index=").and_then(|(_, t)| t.split(' ').next()?.parse().ok());
-        WatchCall { stream, index: index.expect("from a version"), port: address.port(), at: Instant::now() }
+        WatchCall {
+            stream,
+            index: index.expect("the request names a version"),
+            port: address.port(),
+            at: Instant::now(),
+        }
     }
 
-    /// Calls hang, so many in a row.
+    /// Lets the next `calls` calls hang.
     async fn let_calls_hang(&mut self, calls: usize) {
         for _ in 0..calls {
             let call = self.next_call().await;
@@ -232,7 +238,7 @@
     }
 
     async fn next_change(&mut self) -> (u64, Instant) {
-        let change = self.changes.recv().await.expect("the watch lives");
+        let change = self.changes.recv().await.expect("the watch is running");
         (change.version, Instant::now())
     }
 }
@@ -240,9 +246,9 @@
 const MAX_DELAY: Duration = Duration::from_secs(6);
 const MAX_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
 
-/// Wherever a watch falls silent, also where the two calls after it hang.
+/// This holds wherever in the stream a watch falls silent, even if the next two calls hang.
 #[tokio::test(start_paused = true)]
-async fn what_a_silent_watch_misses_is_told_within_six_seconds() {
+async fn changes_missed_by_a_silent_watch_are_reported_within_six_seconds() {
     let heartbeat = "\n".to_string();
     for before in [
         String::new(),
@@ -251,27 +257,31 @@
         list(2, true)[..40].to_string(),
         list(2, false) + &list(3, true)[..9],
     ] {
-        for hanging in 0..=2 {
+        for hanging_calls in 0..=2 {
             let mut discovery = TestDiscovery::with_silent_watch(&before).await;
             let silent = Instant::now();
-            discovery.let_calls_hang(hanging).await;
+            discovery.let_calls_hang(hanging_calls).await;
             let mut next = discovery.next_call().await;
-            let told = if before.contains("\"version\":2") { 2 } else { 1 };
-            assert_eq!(next.index, told, "it goes on from what was told");
+            let reported = if before.contains("\"version\":2") { 2 } else { 1 };
+            assert_eq!(next.index, reported, "the next call continues from the last reported version");
             next.answer(&list(9, false)).await;
             let (mut version, mut when) = discovery.next_change().await;
             if version != 9 {
                 (version, when) = discovery.next_change().await;
             }
             assert_eq!(version, 9);
-            assert!(when - silent < MAX_DELAY, "{:?} after {before:?}, {hanging} calls hang", when - silent);
+            assert!(
+                when - silent < MAX_DELAY,
+                "{:?} after {before:?}, {hanging_calls} calls hang",
+                when - silent
+            );
         }
     }
 }
 
-/// Quiet minutes with heartbeats leave no longer time-out behind.
+/// Minutes with nothing but heartbeats do not extend the silence timeout.
 #[tokio::test(start_paused = true)]
-async fn a_silence_after_many_quiet_minutes_is_found_as_soon() {
+async fn silence_after_many_quiet_minutes_is_detected_as_fast() {
     let mut discovery = TestDiscovery::new();
     let mut first = discovery.next_call().await;
     first.answer("").await;
@@ -287,27 +297,32 @@
     assert!(when - silent < MAX_DELAY, "{:?}", when - silent);
 }
 
-/// Discovery is down, and back at any moment of the calls meanwhile: none of them uses up the time after it.
+/// Discovery is down and recovers at any point of the calls made meanwhile. None of these calls may use up the time
+/// that remains after the recovery.
 #[tokio::test(start_paused = true)]
-async fn a_call_that_hangs_from_before_discovery_came_back_does_not_use_up_the_time_after() {
-    for down in (0..9_000).step_by(130) {
+async fn call_made_before_discovery_recovers_does_not_delay_changes() {
+    for down_ms in (0..9_000).step_by(130) {
         let mut discovery = TestDiscovery::with_silent_watch("\n").await;
-        let back = Instant::now() + Duration::from_millis(down);
+        let recovered_at = Instant::now() + Duration::from_millis(down_ms);
         let mut call = discovery.next_call().await;
-        while call.at < back {
+        while call.at < recovered_at {
             discovery.held_calls.push(call);
             call = discovery.next_call().await;
         }
         call.answer(&list(2, false)).await;
         let (version, when) = discovery.next_change().await;
         assert_eq!(version, 2);
-        assert!(when - back < MAX_DELAY, "{:?} after it came back, down for {down} ms", when - back);
+        assert!(
+            when - recovered_at < MAX_DELAY,
+            "{:?} after discovery recovered, down for {down_ms} ms",
+            when - recovered_at
+        );
     }
 }
 
-/// Calls that end at once, in whatever way, are made again soon, and not without backoff.
+/// However a call ends immediately, it is repeated soon, but not without backoff.
 #[tokio::test(start_paused = true)]
-async fn watches_that_end_at_once_are_opened_anew_with_growing_backoff() {
+async fn watches_that_end_immediately_are_reopened_with_backoff() {
     for answer in
         ["", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"]
     {
@@ -324,9 +339,9 @@
     }
 }
 
-/// Watches that had nothing to tell and ended, in order, leave no longer backoff behind.
+/// Healthy watches that end without having reported changes do not increase the backoff.
 #[tokio::test(start_paused = true)]
-async fn watches_in_order_without_changes_let_no_backoff_grow() {
+async fn healthy_watches_without_changes_do_not_increase_backoff() {
     let mut discovery = TestDiscovery::new();
     let mut ended = Instant::now();
     for number in 0..30 {
@@ -340,17 +355,17 @@
     }
 }
 
-/// After a reload: of another discovery and of the same, its first calls hanging or not, the former watch silent.
+/// The reload may change the address of discovery or not. The previous watch is silent, and up to two calls hang.
 #[tokio::test(start_paused = true)]
-async fn a_reload_is_followed_within_four_seconds() {
+async fn changes_are_reported_within_four_seconds_of_a_reload() {
     for next in [1, 2] {
-        for hanging in 0..=2 {
+        for hanging_calls in 0..=2 {
             let mut discovery = TestDiscovery::with_silent_watch("\n").await;
             let reloaded = Instant::now();
             discovery.addresses.send_replace(discovery_at(next));
-            discovery.let_calls_hang(hanging).await;
+            discovery.let_calls_hang(hanging_calls).await;
             let mut call = discovery.next_call().await;
-            // Until the next watch stands, the former one is opened anew too once it is seen to be silent.
+            // Until the next watch is open, the previous one is also reopened once its silence is detected.
             for _ in 0..10 {
                 if call.port == next {
                     break;
@@ -362,15 +377,19 @@
             call.answer(&list(5, false)).await;
             let (version, when) = discovery.next_change().await;
             assert_eq!(version, 5);
-            assert!(when - reloaded < MAX_DELAY_AFTER_RELOAD, "{:?}, {hanging} calls hang", when - reloaded);
+            assert!(
+                when - reloaded < MAX_DELAY_AFTER_RELOAD,
+                "{:?}, {hanging_calls} calls hang",
+                when - reloaded
+            );
         }
     }
 }
 
-/// What the former discovery tells while the next one is silent is not missed; the next one's first list is marked, and
-/// then the former is left.
+/// Changes from the previous discovery service are reported while the next one is silent. The first list of the next
+/// one is marked, and the watch on the previous one ends.
 #[tokio::test(start_paused = true)]
-async fn the_former_discovery_counts_until_the_next_has_told_also_through_two_reloads() {
+async fn previous_discovery_is_watched_until_the_next_one_reports() {
     let mut discovery = TestDiscovery::new();
     let mut first = discovery.next_call().await;
     first.answer("\n").await;
@@ -385,14 +404,14 @@
     first.send(&list(3, true)).await;
     assert_eq!(discovery.next_change().await.0, 3);
     third.answer(&list(1, false)).await;
-    let change = discovery.changes.recv().await.expect("the watch lives");
+    let change = discovery.changes.recv().await.expect("the watch is running");
     assert_eq!((change.version, change.discovery_moved), (1, true));
-    // Both former watches have ended.
-    for mut former in [first.stream, second.stream] {
+    // Both previous watches have ended.
+    for mut previous in [first.stream, second.stream] {
         let mut rest = Vec::new();
-        former.read_to_end(&mut rest).await.expect("it is closed");
+        previous.read_to_end(&mut rest).await.expect("the stream ends");
     }
     third.send(&list(2, false)).await;
-    let change = discovery.changes.recv().await.expect("the watch lives");
+    let change = discovery.changes.recv().await.expect("the watch is running");
     assert_eq!((change.version, change.discovery_moved), (2, false));
 }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,12 +1,13 @@
-//! The actor that watches discovery and tells the module each change of the endpoints.
+//! The actor that watches discovery and reports each change of the endpoints to the control actor.
 //!
-//! The times below add up to what a change can be late by. A watch falls silent at 0 s: that is seen at 3 s, the next
-//! call is made at 3.05 s, and two calls that hang after it leave time for a third at 5.35 s: under the 6 s at which
-//! what was missed counts as told. A call that hangs from before discovery's return ends 1 s after it, and the next
-//! is made 0.5 s later at the latest. After a SIGHUP the first call is made at once: two that hang leave 1.85 s of 4 s.
+//! The timeouts below bound the delay of a change. If a watch falls silent at 0 s, the silence is detected at 3 s and
+//! the next call is made at 3.05 s. If that call and the one after it hang, a third call is made at 5.35 s, before the
+//! 6 s after which the limiter is expected to know a change that it missed. A call that hangs since before discovery
+//! recovered is late 1 s after the recovery at the latest, and the next call follows within 0.5 s. After a SIGHUP the
+//! first call is made immediately; two calls that hang leave 1.85 s of the 4 s allowed.
 //!
-//! A call that is late is not given up as the next one is made: where discovery is asked, calls wait there in turn, and
-//! the first that is answered is the watch.
+//! A late call is not given up when the next one is made. If discovery queues calls, giving a call up would move it to
+//! the end of the queue. The first call that is answered becomes the watch.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -34,43 +35,43 @@
 use crate::net::runtime::metrics::COUNTERS;
 use crate::say;
 
-/// A watch that says nothing for this long is dead: its empty lines come every 2 s.
+/// Time without data after which a watch is dead. Discovery sends an empty line every 2 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A call that has no head of an answer by then is late, and another one is made after the backoff.
+/// Time after which a call without a response head is late. Another call is then made after the backoff.
 const CALL_LATE_AFTER: Duration = Duration::from_secs(1);
-/// The backoff between calls, doubled from the first to the last while watches fail or end as soon as they stand.
+/// Minimum and maximum backoff between calls. It doubles while watches fail or end soon after they are opened.
 pub(super) const MIN_BACKOFF: Duration = Duration::from_millis(50);
 pub(super) const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// A watch that stood for so long was in order, whether it had anything to tell or not.
-const IN_ORDER_AFTER: Duration = Duration::from_secs(2);
+/// Duration after which a watch counts as healthy and resets the backoff, whether it reported changes or not.
+const HEALTHY_AFTER: Duration = Duration::from_secs(2);
 
 /// Why a watch ended.
 #[derive(Debug, Error)]
 enum WatchError {
     #[error("address: {0}")]
     Address(#[from] InvalidUri),
-    #[error("silent")]
+    #[error("no data received")]
     Silent,
-    #[error("no answer yet")]
+    #[error("no response yet")]
     Late,
     #[error("{0:?}")]
     Call(#[from] hyper_util::client::legacy::Error),
     #[error("status {0}")]
     Status(StatusCode),
-    #[error("closed")]
+    #[error("connection closed")]
     Closed,
     #[error("{0}")]
     Body(#[from] hyper::Error),
     #[error("{0}")]
     List(#[from] ListError),
-    #[error("the module has ended")]
-    ModuleEnded,
+    #[error("the control actor has stopped")]
+    ControlActorStopped,
 }
 
-/// A watch of one discovery; it ends when this is dropped.
+/// A watch on one discovery service. Dropping it ends the watch.
 struct Watch {
     task: AbortHandle,
-    /// The version that it has told.
+    /// The version reported last.
     version: Arc<AtomicU64>,
 }
 
@@ -80,22 +81,23 @@
     }
 }
 
-/// The watch that another one takes the place of, until it is dropped. Guards drains of backends: what it still tells
-/// meanwhile is not missed.
-struct FormerWatch {
+/// A watch that is being replaced. It is kept until its successor takes over, so that no change, such as the drain of a
+/// backend, is missed in between.
+struct PreviousWatch {
     _watch: Watch,
-    /// It is of another discovery: it ends once the next one has told its first list, else once the next one stands.
-    is_of_other_discovery: bool,
+    /// Whether it watches another discovery service than its successor. It is then kept until the successor has
+    /// reported its first list; otherwise only until the successor is open.
+    is_from_other_discovery: bool,
 }
 
 impl Watch {
-    /// Watches `discovery` from `version` on.
+    /// Starts to watch `discovery` from `version` on.
     fn start<C: Connect + Clone + Send + Sync + 'static>(
         connector: C,
         discovery: SocketAddr,
         version: u64,
-        former: Option<FormerWatch>,
-        module: mpsc::Sender<EndpointsChange>,
+        previous: Option<PreviousWatch>,
+        control: mpsc::Sender<EndpointsChange>,
     ) -> Watch {
         let client = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
@@ -103,111 +105,111 @@
             .build(connector);
         let version = Arc::new(AtomicU64::new(version));
         let calls = PendingCalls::new();
-        let task = WatchTask { client, calls, discovery, version: version.clone(), former, module };
+        let task = WatchTask { client, calls, discovery, version: version.clone(), previous, control };
         Watch { task: tokio::spawn(task.run()).abort_handle(), version }
     }
 }
 
-/// Opens connections to discovery.
+/// Returns the connector for connections to discovery.
 pub fn connector() -> HttpConnector {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector
 }
 
-/// Watches discovery from `version` on, for as long as the module listens, and moves with its address. Each reload
-/// opens the watch anew: the one that stands may be silent.
+/// Watches discovery from `version` on until the control actor stops, and follows changes of its address. Each reload
+/// reopens the watch, because the current one may have gone silent.
 pub async fn run<C: Connect + Clone + Send + Sync + 'static>(
     connector: C,
     mut addresses: watch::Receiver<Addresses>,
     version: u64,
-    module: mpsc::Sender<EndpointsChange>,
+    control: mpsc::Sender<EndpointsChange>,
 ) {
     let mut discovery = addresses.borrow_and_update().discovery;
-    let mut watch = Watch::start(connector.clone(), discovery, version, None, module.clone());
+    let mut watch = Watch::start(connector.clone(), discovery, version, None, control.clone());
     while addresses.changed().await.is_ok() {
         let next = addresses.borrow_and_update().discovery;
-        // A version counts at one discovery only: of another the complete list is asked.
-        let (version, former) = if next == discovery {
-            (watch.version.load(Relaxed), FormerWatch { _watch: watch, is_of_other_discovery: false })
+        // Versions are valid only within one discovery service, so the complete list is requested from another one.
+        let (version, previous) = if next == discovery {
+            (watch.version.load(Relaxed), PreviousWatch { _watch: watch, is_from_other_discovery: false })
         } else {
             say!("list: discovery moves from {discovery} to {next}");
             discovery = next;
-            (0, FormerWatch { _watch: watch, is_of_other_discovery: true })
+            (0, PreviousWatch { _watch: watch, is_from_other_discovery: true })
         };
-        watch = Watch::start(connector.clone(), discovery, version, Some(former), module.clone());
+        watch = Watch::start(connector.clone(), discovery, version, Some(previous), control.clone());
     }
     drop(watch);
 }
 
-/// What the task of a watch owns.
+/// The task of a watch.
 struct WatchTask<C> {
     client: Client<C, Empty<Bytes>>,
     calls: PendingCalls<CallResult>,
     discovery: SocketAddr,
-    /// The version that was told last.
+    /// The version reported last.
     version: Arc<AtomicU64>,
-    former: Option<FormerWatch>,
-    module: mpsc::Sender<EndpointsChange>,
+    previous: Option<PreviousWatch>,
+    control: mpsc::Sender<EndpointsChange>,
 }
 
 impl<C: Connect + Clone + Send + Sync + 'static> WatchTask<C> {
-    /// Opens the watch anew, with backoff, for as long as the module listens.
+    /// Opens the watch, and reopens it with backoff, until the control actor stops.
     async fn run(mut self) {
         let mut backoff = MIN_BACKOFF;
-        let mut late_answer = None;
-        while !self.module.is_closed() {
-            let (version, begun) = (self.version.load(Relaxed), Instant::now());
-            let Err(error) = self.watch_once(late_answer.take()).await;
+        let mut late_response = None;
+        while !self.control.is_closed() {
+            let (version, started_at) = (self.version.load(Relaxed), Instant::now());
+            let Err(error) = self.watch_once(late_response.take()).await;
             say!("list: watch from version {version} ended: {error}");
-            if begun.elapsed() >= IN_ORDER_AFTER {
+            if started_at.elapsed() >= HEALTHY_AFTER {
                 backoff = MIN_BACKOFF;
             }
-            late_answer = self.late_answer(Instant::now() + backoff).await;
+            late_response = self.late_response(Instant::now() + backoff).await;
             backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// Opens the watch, where no call was answered yet, and tells its changes until it ends.
-    async fn watch_once(&mut self, answer: Option<Incoming>) -> Result<Infallible, WatchError> {
-        let mut body = match answer {
+    /// Opens the watch, unless a call has already been answered with `response`, and reports its changes until it ends.
+    async fn watch_once(&mut self, response: Option<Incoming>) -> Result<Infallible, WatchError> {
+        let mut body = match response {
             Some(body) => body,
             None => self.open().await?,
         };
         self.calls.clear();
-        self.former.take_if(|former| !former.is_of_other_discovery);
+        self.previous.take_if(|previous| !previous.is_from_other_discovery);
         let mut decoder = ListDecoder::default();
-        let mut heard_by = Instant::now() + SILENCE_TIMEOUT;
+        let mut silence_deadline = Instant::now() + SILENCE_TIMEOUT;
         loop {
-            let frame = timeout_at(heard_by, body.frame()).await.map_err(|_| WatchError::Silent)?;
+            let frame = timeout_at(silence_deadline, body.frame()).await.map_err(|_| WatchError::Silent)?;
             let frame = frame.ok_or(WatchError::Closed)??;
             let Some(bytes) = frame.data_ref() else { continue };
             let was_partial = decoder.is_partial();
             let changes = decoder.decode(bytes)?;
-            // A list that never comes whole is as good as silence.
+            // A list that is never completed counts as silence.
             if !changes.is_empty() || !was_partial || !decoder.is_partial() {
-                heard_by = Instant::now() + SILENCE_TIMEOUT;
+                silence_deadline = Instant::now() + SILENCE_TIMEOUT;
             }
             self.send_changes(changes).await?;
         }
     }
 
-    /// Makes a call, and awaits its answer or that of an earlier one; the call stays pending where it is late.
+    /// Makes a call and waits for the response to it or to an earlier call. If the call is late, it stays pending.
     async fn open(&mut self) -> Result<Incoming, WatchError> {
         COUNTERS.list_watches.increment();
         self.calls.push(call(self.client.clone(), self.discovery, self.version.load(Relaxed)));
         let late_at = Instant::now() + CALL_LATE_AFTER;
         loop {
             let ended = timeout_at(late_at, self.calls.next()).await.map_err(|_| WatchError::Late)?;
-            // That an earlier call failed says nothing of the newest one.
+            // The failure of an earlier call does not affect the newest one.
             if ended.result.is_ok() || ended.is_newest {
                 return ended.result;
             }
         }
     }
 
-    /// Waits until `backoff_end`, or until a late call is answered.
-    async fn late_answer(&mut self, backoff_end: Instant) -> Option<Incoming> {
+    /// Waits until `backoff_end`. Returns early if a late call is answered.
+    async fn late_response(&mut self, backoff_end: Instant) -> Option<Incoming> {
         while let Ok(ended) = timeout_at(backoff_end, self.calls.next()).await {
             if let Ok(body) = ended.result {
                 return Some(body);
@@ -219,9 +221,9 @@
     async fn send_changes(&mut self, changes: Vec<EndpointsChange>) -> Result<(), WatchError> {
         for mut change in changes {
             self.version.store(change.version, Relaxed);
-            change.discovery_moved = self.former.take().is_some();
+            change.discovery_moved = self.previous.take().is_some();
             COUNTERS.list_changes.increment();
-            self.module.send(change).await.map_err(|_| WatchError::ModuleEnded)?;
+            self.control.send(change).await.map_err(|_| WatchError::ControlActorStopped)?;
         }
         Ok(())
     }
@@ -229,7 +231,7 @@
 
 type CallResult = Result<Incoming, WatchError>;
 
-/// Asks discovery for what comes after `version`.
+/// Requests the changes after `version` from discovery.
 async fn call<C: Connect + Clone + Send + Sync + 'static>(
     client: Client<C, Empty<Bytes>>,
     discovery: SocketAddr,
--- a/src/net/quota_counter/connection.rs
+++ b/src/net/quota_counter/connection.rs
@@ -1,4 +1,4 @@
-//! The steps of a connection to the quota counter.
+//! Opening a connection to the quota counter, and handling the events on it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 use crate::net::control::message::{CounterReply, Message};
 use crate::net::runtime::socket_errors;
 
-/// Bytes taken in by one read while a replaced connection is drained.
+/// Size in bytes of the read buffer while a replaced connection is drained.
 const DRAIN_READ_BYTES: usize = 1024;
 
-/// Why a connection failed, or did not come up.
+/// Why a connection failed or could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
-    #[error("it has no address")]
+    #[error("no address is configured")]
     NoAddress,
-    #[error("never came up")]
+    #[error("connect timed out")]
     ConnectTimeout,
-    #[error("closed")]
+    #[error("connection closed")]
     Closed,
-    #[error("silent")]
+    #[error("no response")]
     Silent,
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -35,28 +35,28 @@
     Protocol(#[from] ProtocolError),
 }
 
-/// How serving a connection ended.
+/// Why serving a connection ended.
 pub(super) enum ConnectionEnd {
     Failed(ConnectionError),
-    /// A connection to the counter's new address is up.
+    /// The counter's address changed, and a connection to the new address is open.
     Replaced(TcpStream),
-    /// Nobody can make calls any more.
+    /// All senders of calls are gone.
     MailboxClosed,
 }
 
-/// What happened on a connection.
+/// An event while serving a connection.
 pub(super) enum ConnectionEvent {
-    /// A call to queue; `None` once nobody can make calls any more.
+    /// A call to queue; `None` once all senders of calls are gone.
     Call(Option<CounterCall>),
-    /// The counter has a new address; the connection to it.
+    /// The counter's address changed: the result of connecting to the new one.
     Redialled(Result<TcpStream, ConnectionError>),
     Written(io::Result<usize>),
     Read(io::Result<usize>),
-    /// The moment that [`CallPipeline::next_wakeup`] named has come.
+    /// The time returned by [`CallPipeline::next_wakeup`] has come.
     Wakeup,
 }
 
-/// Opens a connection, given up at `deadline`.
+/// Opens a connection, or fails at `deadline`.
 pub(super) async fn dial(
     address: Option<SocketAddr>,
     deadline: Instant,
@@ -70,7 +70,7 @@
     Ok(stream)
 }
 
-/// Waits until the counter has another address than `dialled`, and opens a connection there.
+/// Waits until the counter's address differs from `dialled`, and opens a connection to the new address.
 pub(super) async fn dial_next_address(
     addresses: &mut watch::Receiver<Addresses>,
     dialled: &mut Option<SocketAddr>,
@@ -83,11 +83,11 @@
             return dial(address, Instant::now() + connect_timeout).await;
         }
     }
-    // The sender is gone, so the address can't change any more.
+    // The sender is gone, so the address cannot change again.
     std::future::pending().await
 }
 
-/// Takes in the result of a write.
+/// Handles the result of a write.
 pub(super) fn on_written(
     pipeline: &mut CallPipeline,
     result: io::Result<usize>,
@@ -97,7 +97,7 @@
     Ok(())
 }
 
-/// Takes in the result of a read into `input`.
+/// Handles the result of a read into `input`.
 pub(super) fn on_read(
     pipeline: &mut CallPipeline,
     result: io::Result<usize>,
@@ -110,7 +110,7 @@
     }
 }
 
-/// Expires calls, pings an idle connection and finds one that has gone silent.
+/// Expires calls and pings an idle connection. Fails if an answer is due and the counter has gone silent.
 pub(super) fn on_wakeup(
     pipeline: &mut CallPipeline,
     replies: &mut Vec<CounterReply>,
@@ -126,7 +126,7 @@
     Ok(())
 }
 
-/// Waits for the answers still due on a connection that another one has replaced, while somebody waits for them.
+/// Reads the outstanding answers from a connection that was replaced, until all calls on it are answered or expired.
 pub(super) async fn drain(mut stream: TcpStream, mut pipeline: CallPipeline, control: mpsc::Sender<Message>) {
     let (mut replies, mut input) = (Vec::new(), [0u8; DRAIN_READ_BYTES]);
     while let Some(deadline) = pipeline.next_deadline() {
--- a/src/net/quota_counter/mod.rs
+++ b/src/net/quota_counter/mod.rs
@@ -1,4 +1,4 @@
-//! The actor of the quota counter: calls are pipelined on one connection, and each gets exactly one reply.
+//! The client of the quota counter: an actor that pipelines calls on one connection. Each call gets exactly one reply.
 
 mod connection;
 mod pipeline;
@@ -23,26 +23,26 @@
 use crate::net::runtime::metrics::COUNTERS;
 use crate::say;
 
-/// Backoff between connections that failed: it doubles from the first value to the last.
+/// Initial and maximum backoff after a failed connection. It doubles with each failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Bytes taken in by one read.
+/// Size in bytes of the read buffer.
 const READ_BYTES: usize = 4096;
 
-/// A call: add `amount` to `name`, given up at `deadline`.
+/// A call that adds `amount` to the counter `name`. It times out at `deadline`.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterCall {
     pub name: CounterName,
     pub amount: f64,
-    /// How long the service keeps the counter, if the call creates it.
+    /// Time for which the service keeps the counter, if this call creates it.
     pub lifetime: Micros,
     pub deadline: Instant,
 }
 
-/// The counter's actor.
+/// The actor that calls the quota counter.
 pub struct QuotaCounter {
     addresses: watch::Receiver<Addresses>,
-    /// The address that was last dialled.
+    /// The address that was dialled last.
     dialled: Option<SocketAddr>,
     connect_timeout: Duration,
     mailbox: mpsc::Receiver<CounterCall>,
@@ -50,8 +50,8 @@
 }
 
 impl QuotaCounter {
-    /// An actor for the counter, wherever `addresses` places it; a connection that is not up within
-    /// `connect_timeout` has failed. Replies go to `control`.
+    /// Creates an actor that connects to the counter's current address in `addresses` and takes calls from `mailbox`. A
+    /// connection that is not open within `connect_timeout` has failed. Replies are sent to `control`.
     pub fn new(
         addresses: watch::Receiver<Addresses>,
         connect_timeout: Duration,
@@ -61,7 +61,7 @@
         QuotaCounter { addresses, dialled: None, connect_timeout, mailbox, control }
     }
 
-    /// Serves calls until nobody can make any more.
+    /// Serves calls until all of their senders are gone.
     pub async fn run(mut self) {
         let mut backoff = INITIAL_BACKOFF;
         loop {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Connects and serves, also on the connections that replace the first one as the counter's address changes.
-    /// Gives what failed, or `None` once nobody can make calls any more.
+    /// Connects and serves calls. Changes to a new connection when the counter's address changes. Returns the error
+    /// that ended the last connection, or `None` once all senders of calls are gone.
     async fn connect_and_serve(&mut self) -> Option<ConnectionError> {
         let mut connected = self.connect().await?;
         loop {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Fails calls until then; false once nobody can make any more.
+    /// Fails all calls until `until`. Returns false once all senders of calls are gone.
     async fn fail_calls_until(&mut self, until: Instant) -> bool {
         loop {
             tokio::select! {
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Connects; calls made meanwhile fail at once. `None` once nobody can make any more.
+    /// Opens a connection. Calls that arrive before it is open fail immediately. Returns `None` once all senders of
+    /// calls are gone.
     async fn connect(&mut self) -> Option<Result<TcpStream, ConnectionError>> {
         let deadline = Instant::now() + self.connect_timeout;
         self.dialled = self.addresses.borrow_and_update().counter;
@@ -146,8 +147,8 @@
                     Ok(())
                 }
                 ConnectionEvent::Call(None) => return ConnectionEnd::MailboxClosed,
-                // Guards calls across a change of address: this connection serves until the next one is up, and the
-                // answers still due on it are waited for.
+                // The old connection has served until now. Its outstanding answers are still read, so that a change of
+                // address loses no call.
                 ConnectionEvent::Redialled(Ok(next)) => {
                     tokio::spawn(drain(stream, pipeline, self.control.clone()));
                     return ConnectionEnd::Replaced(next);
@@ -167,13 +168,13 @@
     }
 }
 
-/// Replies to a call for which there is no connection.
+/// Replies to a call that cannot be sent because there is no connection.
 async fn fail_call(control: &mpsc::Sender<Message>, call: &CounterCall) {
     let reply = CounterReply { name: call.name, outcome: Outcome::ConnectFailed, total: None };
     send_replies(control, &mut vec![reply]).await;
 }
 
-/// Counts replies and hands them to the control actor.
+/// Counts replies and sends them to the control actor.
 async fn send_replies(control: &mpsc::Sender<Message>, replies: &mut Vec<CounterReply>) {
     for reply in replies.drain(..) {
         match reply.outcome {
@@ -183,7 +184,7 @@
             _ => &COUNTERS.counter_timed_out,
         }
         .increment();
-        // The control actor never waits for this one, so this wait ends.
+        // The control actor never waits for this actor, so this wait cannot deadlock.
         let _ = control.send(Message::CounterReplied(reply)).await;
     }
 }
--- a/src/net/quota_counter/pipeline.rs
+++ b/src/net/quota_counter/pipeline.rs
@@ -1,4 +1,4 @@
-//! The calls in flight on one connection to the quota counter, without the connection itself.
+//! The calls in flight on one connection to the quota counter. The I/O itself is done elsewhere.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,20 +11,21 @@
 use super::CounterCall;
 use crate::net::control::message::CounterReply;
 
-/// A connection that owes an answer and sends nothing for this long has failed: a lost machine never sends a reset.
+/// Time without received bytes after which a connection with outstanding answers has failed. A machine that is lost
+/// never sends a reset.
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// An idle connection is pinged this often: the counter closes it after 10 s or less.
+/// Interval at which an idle connection is pinged. The counter closes idle connections after 10 s or less.
 const PING_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// A line that waits for its answer.
+/// A sent or queued line whose answer is outstanding.
 struct PendingLine {
     kind: LineKind,
-    /// Bytes queued on this connection up to the end of the line.
+    /// Number of bytes queued on this connection up to and including this line.
     end_offset: u64,
 }
 
-/// What a pending line asked for. Answers come in the order of the lines, so a call that was given up stays pending
-/// until its answer is there.
+/// The kind of a pending line. Answers arrive in the order of the lines, so an expired call stays pending until its
+/// answer arrives.
 enum LineKind {
     Ping,
     Call(CounterCall),
@@ -32,7 +33,7 @@
 }
 
 impl LineKind {
-    /// The call, if somebody still waits for its reply.
+    /// Returns the call if it still needs a reply.
     fn open_call(&self) -> Option<&CounterCall> {
         match self {
             LineKind::Call(call) => Some(call),
@@ -41,20 +42,21 @@
     }
 }
 
-/// Calls written one behind another on a connection, and the answers that are still due.
+/// The calls pipelined on a connection: output to be written, and lines whose answers are outstanding.
 pub(super) struct CallPipeline {
     pending: VecDeque<PendingLine>,
     output: BytesMut,
-    /// Bytes put into `output` and bytes written from it, since the connection came up.
+    /// Number of bytes queued in `output` since the connection was opened.
     queued_bytes: u64,
+    /// Number of bytes written from `output` since the connection was opened.
     written_bytes: u64,
     input: BytesMut,
-    /// When bytes last came, or a line was queued while none was pending.
+    /// When bytes were last received, or a line was queued while none was pending.
     last_heard: Instant,
 }
 
 impl CallPipeline {
-    /// The pipeline of a connection that has just come up.
+    /// Creates the pipeline of a newly opened connection.
     pub(super) fn new(now: Instant) -> CallPipeline {
         CallPipeline {
             pending: VecDeque::new(),
@@ -66,12 +68,12 @@
         }
     }
 
-    /// The bytes that are still to be written.
+    /// Returns the bytes to be written.
     pub(super) fn output(&self) -> &[u8] {
         &self.output
     }
 
-    /// Whether no answer is due.
+    /// Whether no answer is outstanding.
     pub(super) fn is_idle(&self) -> bool {
         self.pending.is_empty()
     }
@@ -97,16 +99,16 @@
         self.push_line(PING_LINE, LineKind::Ping, now);
     }
 
-    /// The first `bytes` of the output are written.
+    /// Records that the first `bytes` bytes of the output were written.
     pub(super) fn record_written(&mut self, bytes: usize) {
         self.output.advance(bytes);
         self.written_bytes += bytes as u64;
     }
 
-    /// Takes in bytes and appends the replies that they complete.
+    /// Processes received bytes and appends the replies that they complete to `replies`.
     ///
     /// # Errors
-    /// Where the bytes are no answers to what is pending; the connection is then to be closed.
+    /// Returns an error if the bytes are not valid answers to the pending lines. The connection must then be closed.
     pub(super) fn receive(
         &mut self,
         bytes: &[u8],
@@ -126,7 +128,7 @@
         Ok(())
     }
 
-    /// Matches an answer to the oldest pending line; the reply, if somebody still waits for one.
+    /// Matches an answer to the oldest pending line. Returns the reply if its call still needs one.
     fn receive_line(&mut self, line: &str) -> Result<Option<CounterReply>, ProtocolError> {
         let oldest = self.pending.front();
         let oldest = oldest.ok_or_else(|| ProtocolError::Unsolicited { line: line.to_string() })?;
@@ -135,7 +137,7 @@
             Some(Answer::Total(total)) if !is_ping => (Outcome::Ok, Some(total)),
             Some(Answer::Rejected) => (Outcome::Rejected, None),
             Some(Answer::Pong) if is_ping => (Outcome::Ok, None),
-            // The line stays pending: closing the connection decides what became of its call.
+            // The line stays pending, so that closing the connection determines the outcome of its call.
             _ => return Err(ProtocolError::UnknownAnswer { line: line.to_string() }),
         };
         let reply = oldest.kind.open_call().map(|call| CounterReply { name: call.name, outcome, total });
@@ -143,7 +145,7 @@
         Ok(reply)
     }
 
-    /// Gives up the calls whose deadline has come.
+    /// Times out the calls whose deadline has passed.
     pub(super) fn expire_calls(&mut self, now: Instant, replies: &mut Vec<CounterReply>) {
         for line in &mut self.pending {
             if let Some(call) = line.kind.open_call().filter(|call| call.deadline <= now) {
@@ -153,8 +155,8 @@
         }
     }
 
-    /// Ends the calls in flight on a connection that failed: a call that was not written whole was not carried out,
-    /// any other may have been.
+    /// Appends replies to the calls in flight on a connection that failed. A call that was not fully written has not
+    /// been executed; any other call may have been.
     pub(super) fn close(self, replies: &mut Vec<CounterReply>) {
         for line in &self.pending {
             if let Some(call) = line.kind.open_call() {
@@ -165,17 +167,18 @@
         }
     }
 
-    /// The deadline of the call that expires next.
+    /// Returns the deadline of the call that expires next.
     pub(super) fn next_deadline(&self) -> Option<Instant> {
         self.pending.iter().filter_map(|line| line.kind.open_call()).map(|call| call.deadline).min()
     }
 
-    /// If nothing comes until then: when the connection counts as lost, or an idle one is to be pinged.
+    /// Returns the time at which, if no bytes are received before, the connection has failed or an idle one must be
+    /// pinged.
     pub(super) fn silence_deadline(&self) -> Instant {
         self.last_heard + if self.is_idle() { PING_INTERVAL } else { SILENCE_TIMEOUT }
     }
 
-    /// When there is something to do though nothing happens on the connection.
+    /// Returns the time at which [`super::connection::on_wakeup`] must run if nothing happens on the connection.
     pub(super) fn next_wakeup(&self) -> Instant {
         let silence = self.silence_deadline();
         self.next_deadline().map_or(silence, |deadline| deadline.min(silence))
--- a/src/net/quota_counter/protocol.rs
+++ b/src/net/quota_counter/protocol.rs
@@ -1,39 +1,39 @@
-//! The lines that the limiter and the quota counter exchange.
+//! The line protocol between the limiter and the quota counter.
 
 use sedgestack::CounterName;
 
-/// Keeps an idle connection open; the counter answers `pong`.
+/// Keeps an idle connection open. The counter answers `pong`.
 pub(super) const PING_LINE: &str = "ping\r\n";
-/// A longer line is no answer. Guards memory against a sender that never ends its line.
+/// Maximum length of an answer, which bounds the memory used if a line never ends.
 pub(super) const MAX_LINE_BYTES: usize = 256;
 
-/// Why bytes from the counter make no sense. The connection can't be used after any of these, as answers are
-/// matched to calls by their order alone.
+/// Why bytes received from the counter are invalid. The connection cannot be used after any of these errors, because
+/// answers are matched to calls by their order alone.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ProtocolError {
-    #[error("an answer is not text")]
+    #[error("answer is not valid UTF-8")]
     NotText,
-    #[error("'{line}' answers no call")]
+    #[error("unexpected answer '{line}': no call is pending")]
     Unsolicited { line: String },
-    #[error("'{line}' is no answer")]
+    #[error("invalid answer '{line}'")]
     UnknownAnswer { line: String },
-    #[error("an answer without end")]
+    #[error("answer is too long")]
     LineTooLong,
 }
 
-/// A line of the counter.
+/// An answer of the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Answer {
-    /// The amount was added; the new total.
+    /// The amount was added. Contains the new total.
     Total(f64),
-    /// The call was not carried out.
+    /// The call was not executed.
     Rejected,
     /// The answer to a ping.
     Pong,
 }
 
 impl Answer {
-    /// Reads a line without its end; `None` if it is none of the counter's answers.
+    /// Parses a line without its line ending. Returns `None` if it is not a valid answer.
     pub(super) fn parse(line: &str) -> Option<Answer> {
         match line {
             "pong" => return Some(Answer::Pong),
@@ -46,7 +46,8 @@
     }
 }
 
-/// The line that adds `amount` to the counter `name`, which the service drops `time_to_live_ms` after its first use.
+/// Returns the line that adds `amount` to the counter `name`. The service drops the counter `time_to_live_ms` after its
+/// first use.
 pub(super) fn add_line(name: CounterName, amount: f64, time_to_live_ms: u64) -> String {
     format!("add {name} {amount} {time_to_live_ms}\r\n")
 }
--- a/src/net/quota_counter/tests.rs
+++ b/src/net/quota_counter/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the calls in flight on a connection to the quota counter.
+//! The call pipeline of a connection to the quota counter, compared with a model.
 
 use std::collections::VecDeque;
 
@@ -8,16 +8,16 @@
 use super::*;
 use crate::net::fixed_seed_config;
 
-/// How long after it is made a call of the tests is given up.
+/// Time after which a call expires in these tests.
 const CALL_TIMEOUT: Duration = Duration::from_millis(30);
 
 #[derive(Clone, Debug)]
 enum Step {
     Call,
     Ping,
-    /// At most so many bytes are written.
+    /// At most this many bytes are written.
     Write(usize),
-    /// The oldest line, if it was written whole, is answered in two parts.
+    /// The oldest line, if it was fully written, is answered in two parts.
     Answer {
         busy: bool,
         split_at: usize,
@@ -35,21 +35,21 @@
     ]
 }
 
-/// A line whose answer is due, as the model sees it.
+/// A line whose answer is outstanding in the model.
 #[derive(Clone, Copy)]
-struct DueLine {
+struct PendingLine {
     /// `None` for a ping.
     call: Option<CounterName>,
     end_offset: u64,
-    /// The deadline of a call that has not been given up.
+    /// The deadline of a call that has not expired.
     deadline: Option<Instant>,
 }
 
-/// A pipeline beside a model of what its replies must be.
+/// A pipeline with a model of its expected replies.
 struct Harness {
     now: Instant,
     pipeline: CallPipeline,
-    due: VecDeque<DueLine>,
+    pending: VecDeque<PendingLine>,
     calls: u64,
     queued_bytes: u64,
     written_bytes: u64,
@@ -64,7 +64,7 @@
         Harness {
             now,
             pipeline: CallPipeline::new(now),
-            due: VecDeque::new(),
+            pending: VecDeque::new(),
             calls: 0,
             queued_bytes: 0,
             written_bytes: 0,
@@ -91,13 +91,13 @@
         self.pipeline.push_call(CounterCall { name, amount: -2.5, lifetime: 4_000_000, deadline }, self.now);
         self.queued_bytes += format!("add {name} -2.5 4000\r\n").len() as u64;
         let end_offset = self.queued_bytes;
-        self.due.push_back(DueLine { call: Some(name), end_offset, deadline: Some(deadline) });
+        self.pending.push_back(PendingLine { call: Some(name), end_offset, deadline: Some(deadline) });
     }
 
     fn ping(&mut self) {
         self.pipeline.push_ping(self.now);
         self.queued_bytes += 6;
-        self.due.push_back(DueLine { call: None, end_offset: self.queued_bytes, deadline: None });
+        self.pending.push_back(PendingLine { call: None, end_offset: self.queued_bytes, deadline: None });
     }
 
     fn write(&mut self, max_bytes: usize) {
@@ -108,10 +108,10 @@
 
     fn answer(&mut self, busy: bool, split_at: usize) -> Result<(), TestCaseError> {
         let written = self.written_bytes;
-        let Some(line) = self.due.front().copied().filter(|line| line.end_offset <= written) else {
+        let Some(line) = self.pending.front().copied().filter(|line| line.end_offset <= written) else {
             return Ok(());
         };
-        self.due.pop_front();
+        self.pending.pop_front();
         self.total += 1.0;
         let (text, outcome, total) = match (line.call, busy) {
             (None, _) => ("pong\r\n".to_string(), Outcome::Ok, None),
@@ -130,7 +130,7 @@
     fn pass(&mut self, time: Duration) {
         self.now += time;
         self.pipeline.expire_calls(self.now, &mut self.replies);
-        for line in &mut self.due {
+        for line in &mut self.pending {
             let expired = line.deadline.take_if(|deadline| *deadline <= self.now);
             if let (Some(name), Some(_)) = (line.call, expired) {
                 self.expected.push(CounterReply { name, outcome: Outcome::TimedOut, total: None });
@@ -140,15 +140,17 @@
 
     fn check(&self) -> Result<(), TestCaseError> {
         prop_assert_eq!(&self.replies, &self.expected);
-        let next_deadline = self.due.iter().filter_map(|line| line.deadline).min();
+        let next_deadline = self.pending.iter().filter_map(|line| line.deadline).min();
         prop_assert_eq!(self.pipeline.next_deadline(), next_deadline);
-        prop_assert!(self.due.is_empty() || self.pipeline.silence_deadline() <= self.now + SILENCE_TIMEOUT);
+        prop_assert!(
+            self.pending.is_empty() || self.pipeline.silence_deadline() <= self.now + SILENCE_TIMEOUT
+        );
         Ok(())
     }
 
     fn close(mut self) -> Result<(), TestCaseError> {
         self.pipeline.close(&mut self.replies);
-        for line in self.due.iter().filter(|line| line.deadline.is_some()) {
+        for line in self.pending.iter().filter(|line| line.deadline.is_some()) {
             let is_written = line.end_offset <= self.written_bytes;
             let outcome = if is_written { Outcome::TimedOut } else { Outcome::ConnectFailed };
             self.expected.push(CounterReply { name: line.call.unwrap_or(0), outcome, total: None });
@@ -160,7 +162,7 @@
 
 proptest! {
     #![proptest_config(fixed_seed_config(512))]
-    /// Each call gets one reply, in its turn, with the outcome that the counter and the connection prove.
+    /// Each call gets one reply in order, with the outcome that follows from the answers and the bytes written.
     #[test]
     fn each_call_gets_one_reply_with_the_proven_outcome(steps in prop::collection::vec(step(), 1..60)) {
         let mut harness = Harness::new();
@@ -173,7 +175,7 @@
 }
 
 #[test]
-fn an_unsolicited_or_malformed_answer_is_an_error_and_loses_no_call() {
+fn unsolicited_or_malformed_answer_is_an_error_and_loses_no_call() {
     let now = Instant::now();
     let mut replies = Vec::new();
     assert!(CallPipeline::new(now).receive(b"ok 1\r\n", now, &mut replies).is_err());
