--- a/src/net/control/cordons.rs
+++ b/src/net/control/cordons.rs
@@ -28,7 +28,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Interval between two checks of the file. A cordon must take effect within one second.
+/// Interval between two checks of the file, a fraction of the one second within which a cordon must take effect.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Serialize, Deserialize)]
--- a/src/net/control/message.rs
+++ b/src/net/control/message.rs
@@ -23,8 +23,8 @@
     /// The idempotency key.
     pub key: Option<HeaderValue>,
     pub body: Bytes,
-    /// Cancelled as soon as the client disconnects or the listener answers it by itself. Actors that hold the request
-    /// see this at once, while a message could still wait in a mailbox, and start no further attempt.
+    /// Cancelled as soon as the client disconnects or the listener answers the request itself. Actors that hold the
+    /// request see this at once, while a message could still wait in a mailbox, and start no further attempt.
     pub client_gone: CancellationToken,
 }
 
@@ -50,7 +50,7 @@
     /// The body of a response with status 200.
     pub body: Option<Bytes>,
     pub report: LoadReport,
-    /// The usage that the backend metered, if the response reports it.
+    /// The customer's usage across all limiters as a share of its quota, if the response reports it.
     pub metered_usage: Option<f64>,
     /// The units that the request actually used, if the response reports them.
     pub actual_units: Option<f64>,
--- a/src/net/quota_counter/mod.rs
+++ b/src/net/quota_counter/mod.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Connects and serves calls. Changes to a new connection when the counter's address changes. Returns the error
+    /// Connects and serves calls. Switches to a new connection when the counter's address changes. Returns the error
     /// that ended the last connection, or `None` once all senders of calls are gone.
     async fn connect_and_serve(&mut self) -> Option<ConnectionError> {
         let mut connected = self.connect().await?;
--- a/src/net/quota_counter/pipeline.rs
+++ b/src/net/quota_counter/pipeline.rs
@@ -52,7 +52,7 @@
     written_bytes: u64,
     input: BytesMut,
     /// When bytes were last received, or a line was queued while none was pending.
-    last_heard: Instant,
+    silent_since: Instant,
 }
 
 impl CallPipeline {
@@ -64,7 +64,7 @@
             queued_bytes: 0,
             written_bytes: 0,
             input: BytesMut::new(),
-            last_heard: now,
+            silent_since: now,
         }
     }
 
@@ -80,7 +80,7 @@
 
     fn push_line(&mut self, line: &str, kind: LineKind, now: Instant) {
         if self.is_idle() {
-            self.last_heard = now;
+            self.silent_since = now;
         }
         self.output.extend_from_slice(line.as_bytes());
         self.queued_bytes += line.len() as u64;
@@ -115,7 +115,7 @@
         now: Instant,
         replies: &mut Vec<CounterReply>,
     ) -> Result<(), ProtocolError> {
-        self.last_heard = now;
+        self.silent_since = now;
         self.input.extend_from_slice(bytes);
         while let Some(end) = self.input.iter().position(|byte| *byte == b'\n') {
             let line = self.input.split_to(end + 1);
@@ -175,7 +175,7 @@
     /// Returns the time at which, if no bytes are received before, the connection has failed or an idle one must be
     /// pinged.
     pub(super) fn silence_deadline(&self) -> Instant {
-        self.last_heard + if self.is_idle() { PING_INTERVAL } else { SILENCE_TIMEOUT }
+        self.silent_since + if self.is_idle() { PING_INTERVAL } else { SILENCE_TIMEOUT }
     }
 
     /// Returns the time at which [`super::connection::on_wakeup`] must run if nothing happens on the connection.
--- a/src/net/upstream/actor.rs
+++ b/src/net/upstream/actor.rs
@@ -56,7 +56,7 @@
         BackendHandle { id: backend, addr, commands, closed }
     }
 
-    /// Prevents the backend from receiving any further request; requests of which a byte has been written continue.
+    /// Prevents the backend from receiving any further request; partly written requests continue.
     pub fn close(&self) {
         self.closed.store(true, Relaxed);
     }
@@ -159,13 +159,13 @@
         COUNTERS.attempts.increment();
         let key = AttemptKey { request: attempt.request, number: attempt.number };
         let started_at = attempt.started_at;
-        let (run, cancel_handle) = abortable(self.attempt_run(attempt).run());
+        let (run, cancel_handle) = abortable(self.prepare_attempt(attempt).run());
         self.cancel_handles.insert(key, cancel_handle);
         self.attempts.push(Box::pin(async move { EndedAttempt { key, started_at, result: run.await } }));
     }
 
     /// Prepares an attempt at this backend without starting it.
-    pub(super) fn attempt_run(&self, attempt: Attempt) -> AttemptRun {
+    pub(super) fn prepare_attempt(&self, attempt: Attempt) -> AttemptRun {
         AttemptRun {
             attempt,
             pool: self.pool.clone(),
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -138,9 +138,9 @@
     /// Awaits `step` until the deadline, or until the attempt is withdrawn if `may_withdraw` allows that. A step that
     /// does not finish is dropped together with its connection, on which nothing more is written.
     ///
-    /// Prevents an attempt from starting or continuing to write a request that no client waits for, or that must not be
-    /// repeated any more; dialling can take seconds. Once the request is fully written, the backend runs it, so its end
-    /// is awaited.
+    /// Prevents an attempt from starting or continuing to write a request that no client waits for, or that may no
+    /// longer be repeated; dialling can take seconds. Once the request is fully written, the backend runs it, so its
+    /// end is awaited.
     async fn run_until_withdrawn<T>(
         &self,
         step: impl Future<Output = T>,
--- a/src/net/upstream/counted_io/tests.rs
+++ b/src/net/upstream/counted_io/tests.rs
@@ -17,7 +17,7 @@
     let descriptor = shared.sockets.clone().try_acquire_owned().unwrap();
     let addr = "127.0.0.1:1".parse().unwrap();
     let dialer = Dialer { addr, backend_closed: Arc::default(), shared };
-    let mut io = dialer.counted_io(stream, descriptor);
+    let mut io = dialer.wrap_stream(stream, descriptor);
     let wrote = std::future::poll_fn(|cx| Pin::new(&mut io).poll_write(cx, b"POST /")).await;
     assert_eq!(wrote.unwrap(), 6);
     let mut read = [0; 6];
@@ -35,7 +35,7 @@
     let (shared, _mailbox) = upstream_shared();
     let descriptor = shared.sockets.clone().try_acquire_owned().unwrap();
     let dialer = Dialer { addr: "127.0.0.1:1".parse().unwrap(), backend_closed: Arc::default(), shared };
-    let mut io = dialer.counted_io(TcpStream::from_std(near).unwrap(), descriptor);
+    let mut io = dialer.wrap_stream(TcpStream::from_std(near).unwrap(), descriptor);
     io.progress.begin_request(0);
     let half = std::future::poll_fn(|cx| Pin::new(&mut io).poll_write(cx, b"POST /")).await;
     assert_eq!(half.unwrap(), 6);
--- a/src/net/upstream/dialer.rs
+++ b/src/net/upstream/dialer.rs
@@ -40,12 +40,12 @@
         let deadline = Instant::now() + self.shared.connect_timeout;
         let descriptor = self.shared.sockets.clone().try_acquire_owned().map_err(io::Error::other)?;
         let stream = timeout_at(deadline, TcpStream::connect(self.addr)).await??;
-        Connection::start(self.counted_io(stream, descriptor)).await.map_err(io::Error::other)
+        Connection::start(self.wrap_stream(stream, descriptor)).await.map_err(io::Error::other)
     }
 
     /// Wraps a newly opened connection. If the socket rejects the no-delay option, the connection is used anyway: the
     /// option only affects speed, and dropping the connection would cause a new dial for every attempt.
-    pub(super) fn counted_io(self, stream: TcpStream, descriptor: OwnedSemaphorePermit) -> CountedIo {
+    pub(super) fn wrap_stream(self, stream: TcpStream, descriptor: OwnedSemaphorePermit) -> CountedIo {
         socket_errors::disable_nagle(&stream, self.addr);
         CountedIo {
             inner: TokioIo::new(stream),
--- a/src/net/upstream/exchange_progress.rs
+++ b/src/net/upstream/exchange_progress.rs
@@ -121,8 +121,8 @@
     /// its attempt ends with [`Outcome::NotSent`].
     pub(super) fn may_write(&self, backend_closed: bool) -> bool {
         let exchange = self.exchange();
-        let begins = exchange.state == ExchangeState::NothingWritten;
-        !(exchange.is_abandoned || (backend_closed && begins))
+        let is_unstarted = exchange.state == ExchangeState::NothingWritten;
+        !(exchange.is_abandoned || (backend_closed && is_unstarted))
     }
 
     /// Whether the connection has carried earlier requests and has accepted no byte of the current one.
--- a/src/net/upstream/exchange_progress/tests.rs
+++ b/src/net/upstream/exchange_progress/tests.rs
@@ -105,8 +105,8 @@
         };
         assert_eq!(self.progress.outcome_of_broken_exchange(), broken);
         assert_eq!(self.progress.outcome_at_deadline(), late);
-        let begins = request.written == 0 && !request.is_head_read;
-        let may_write = !(self.is_abandoned || self.is_draining && begins);
+        let is_unstarted = request.written == 0 && !request.is_head_read;
+        let may_write = !(self.is_abandoned || self.is_draining && is_unstarted);
         assert_eq!(self.progress.may_write(self.is_draining), may_write);
     }
 }
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -57,6 +57,7 @@
 fn record_headers(headers: &HeaderMap, shared: &UpstreamShared, attempt_outcome: &mut AttemptOutcome) {
     attempt_outcome.report = load_report(headers, &shared.names);
     let number = |name| headers.get(name)?.to_str().ok()?.parse::<f64>().ok();
+    // `X-Meter` is 1 plus the usage in percent of the quota.
     attempt_outcome.metered_usage =
         number(X_METER).filter(|n| *n >= 1.0 && n.is_finite()).map(|n| (n - 1.0) / 100.0);
     attempt_outcome.actual_units = number(X_SETTLED).filter(|n| *n > 0.0 && n.is_finite());
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -287,7 +287,7 @@
     let addr = listener.local_addr().unwrap();
     let dialer = Dialer { addr, backend_closed: backend_closed.clone(), shared };
     let actor = BackendActor::new("s-1".into(), dialer);
-    let attempt = actor.attempt_run(attempt(Serve, 0, LONG_TIMEOUT)).run();
+    let attempt = actor.prepare_attempt(attempt(Serve, 0, LONG_TIMEOUT)).run();
     tokio::pin!(attempt);
     assert!(futures_util::poll!(attempt.as_mut()).is_pending(), "the attempt is dialling");
     backend_closed.store(true, Relaxed);
