--- a/src/platform/load_report.rs
+++ b/src/platform/load_report.rs
@@ -8,7 +8,7 @@
 pub enum LoadReportError {
     /// A pair has no separator between name and value.
     #[error("'{pair}' is not name{separator}value")]
-    NotAPair {
+    MissingSeparator {
         /// The text between two commas, without the spaces round it.
         pair: String,
         /// The character that was expected between name and value.
@@ -16,7 +16,7 @@
     },
     /// A value is not a finite number of 0 or more.
     #[error("'{value}' is no figure of a load report")]
-    NotAFigure {
+    InvalidValue {
         /// The text that stood where the value was expected.
         value: String,
     },
@@ -49,10 +49,11 @@
 }
 
 fn split_pair(pair: &str, separator: char) -> Result<(&str, &str), LoadReportError> {
-    pair.split_once(separator).ok_or_else(|| LoadReportError::NotAPair { pair: pair.to_string(), separator })
+    pair.split_once(separator)
+        .ok_or_else(|| LoadReportError::MissingSeparator { pair: pair.to_string(), separator })
 }
 
 fn parse_figure(value: &str) -> Result<f64, LoadReportError> {
     let number = value.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0);
-    number.ok_or_else(|| LoadReportError::NotAFigure { value: value.to_string() })
+    number.ok_or_else(|| LoadReportError::InvalidValue { value: value.to_string() })
 }
--- a/tests/common/script.rs
+++ b/tests/common/script.rs
@@ -7,42 +7,42 @@
 use socket2::{Domain, SockRef, Socket, Type};
 
 /// A listener whose queue is full: connections to it neither come up nor are refused, until it is opened.
-pub struct Unopened {
+pub struct FullBacklogListener {
     socket: Socket,
-    filling: Vec<TcpStream>,
+    fillers: Vec<TcpStream>,
     pub address: SocketAddr,
 }
 
-impl Unopened {
-    pub fn listen() -> Unopened {
+impl FullBacklogListener {
+    pub fn listen() -> FullBacklogListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let loopback: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         socket.bind(&loopback.into()).expect("loopback has a port");
-        Unopened::fill(socket)
+        FullBacklogListener::fill(socket)
     }
 
     /// From now on no further connection to the listener comes up.
-    pub fn shut(listener: TcpListener) -> Unopened {
-        Unopened::fill(Socket::from(listener))
+    pub fn from_listener(listener: TcpListener) -> FullBacklogListener {
+        FullBacklogListener::fill(Socket::from(listener))
     }
 
-    fn fill(socket: Socket) -> Unopened {
+    fn fill(socket: Socket) -> FullBacklogListener {
         socket.listen(0).expect("it listens");
         let address = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("it is bound");
         // Connections come up until the queue is full; the first that does not shows that it is.
-        let mut filling = Vec::new();
+        let mut fillers = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(50)) {
-            filling.push(stream);
+            fillers.push(stream);
         }
-        Unopened { socket, filling, address }
+        FullBacklogListener { socket, fillers, address }
     }
 
     /// From now on connections come up, also those that wait.
     pub fn open(self) -> TcpListener {
         self.socket.listen(128).expect("it listens");
         let listener = TcpListener::from(self.socket);
-        for filling in self.filling {
-            drop((listener.accept().expect("it waits"), filling));
+        for filler in self.fillers {
+            drop((listener.accept().expect("it waits"), filler));
         }
         listener
     }
@@ -55,16 +55,16 @@
 
 /// Ends the sending on a connection, and waits until the other machine has the end: its process then finds it before
 /// whatever comes later, on this connection or on others.
-pub fn end_sending(stream: &TcpStream) {
+pub fn shut_down_write(stream: &TcpStream) {
     stream.shutdown(std::net::Shutdown::Write).expect("it is open");
-    while matches!(connection_state(stream), ESTABLISHED | END_NOT_ACKNOWLEDGED) {
+    while matches!(connection_state(stream), TCP_ESTABLISHED | TCP_FIN_WAIT1) {
         std::thread::yield_now();
     }
 }
 
 /// States of a connection, as the machine numbers them (TCP_ESTABLISHED, TCP_FIN_WAIT1).
-const ESTABLISHED: u8 = 1;
-const END_NOT_ACKNOWLEDGED: u8 = 4;
+const TCP_ESTABLISHED: u8 = 1;
+const TCP_FIN_WAIT1: u8 = 4;
 
 fn connection_state(stream: &TcpStream) -> u8 {
     let mut info = std::mem::MaybeUninit::<libc::tcp_info>::zeroed();
@@ -82,7 +82,7 @@
 }
 
 /// The figure of `name` in a line of counters.
-pub fn figure(counters: &str, name: &str) -> u64 {
+pub fn counter_value(counters: &str, name: &str) -> u64 {
     let told = counters.split_whitespace().find_map(|c| c.strip_prefix(name)?.strip_prefix('='));
     told.and_then(|t| t.parse().ok()).unwrap_or_else(|| panic!("no {name} in {counters}"))
 }
--- a/tests/limiter/client_leaves.rs
+++ b/tests/limiter/client_leaves.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 
 use crate::harness::*;
-use crate::script::{reset, Unopened};
+use crate::script::{reset, FullBacklogListener};
 
 /// How a client goes.
 const WAYS: [fn(Client); 2] = [drop, |client| reset(client.into_stream())];
@@ -35,7 +35,7 @@
 #[test]
 fn an_attempt_whose_dial_is_late_is_not_begun_for_a_client_that_left() {
     for go in WAYS {
-        let unopened = Unopened::listen();
+        let unopened = FullBacklogListener::listen();
         let entry = entry(unopened.address, "s-1", "Ready", 0);
         let (config, _push) = patient(vec![entry]);
         let mut limiter = Limiter::start(&config);
--- a/tests/limiter/discovery.rs
+++ b/tests/limiter/discovery.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 
 use crate::harness::*;
-use crate::script::Unopened;
+use crate::script::FullBacklogListener;
 
 /// As few descriptors as the program works with, of which the machine gives no more.
 const FEW: u64 = 96;
@@ -30,7 +30,7 @@
 #[test]
 fn clients_at_rest_take_no_descriptor_from_discovery_the_counter_or_destinations() {
     let known = Destination::answering("a report");
-    let (lists, counts) = (Unopened::listen(), Unopened::listen());
+    let (lists, counts) = (FullBacklogListener::listen(), FullBacklogListener::listen());
     let mut config = config(lists.address, counts.address, vec![known.entry("s-1", "Ready")]);
     let mut limiter = with_few_descriptors(&mut config);
     let mut resting = Vec::new();
@@ -57,7 +57,7 @@
 #[test]
 fn limiters_that_start_together_are_ready_though_discovery_is_silent() {
     let destination = Destination::answering("a report");
-    let (lists, counts) = (Unopened::listen(), Unopened::listen());
+    let (lists, counts) = (FullBacklogListener::listen(), FullBacklogListener::listen());
     let config = config(lists.address, counts.address, vec![destination.entry("s-1", "Ready")]);
     let begun = Instant::now();
     let limiters: Vec<Limiter> = std::thread::scope(|scope| {
--- a/tests/limiter/harness.rs
+++ b/tests/limiter/harness.rs
@@ -13,7 +13,7 @@
 
 use serde_json::{json, Value};
 
-use crate::script::figure;
+use crate::script::counter_value;
 
 /// A test that has hung for this long has failed; no verdict depends on it otherwise.
 pub const HUNG: Duration = Duration::from_secs(60);
@@ -404,7 +404,7 @@
 
     /// One of the counters.
     pub fn count(&mut self, name: &str) -> u64 {
-        figure(&self.counters(), name)
+        counter_value(&self.counters(), name)
     }
 
     /// Waits until the counters are as `observed` wants them.
@@ -412,7 +412,7 @@
         let begun = Instant::now();
         loop {
             let counters = self.counters();
-            if observed(&|name| figure(&counters, name)) {
+            if observed(&|name| counter_value(&counters, name)) {
                 return;
             }
             assert!(begun.elapsed() < HUNG, "it never came to it: {counters}");
--- a/tests/limiter/pool.rs
+++ b/tests/limiter/pool.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 
 use crate::harness::*;
-use crate::script::Unopened;
+use crate::script::FullBacklogListener;
 
 /// After so long a backend closes an idle connection; the limiter closes it before.
 const KEEPALIVE: Duration = Duration::from_millis(1_500);
@@ -34,7 +34,7 @@
     let (mut stream, _) = listener.accept().expect("the limiter dials");
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
     let first = read_message(&mut reader).expect("the first request");
-    let unopened = Unopened::shut(listener);
+    let unopened = FullBacklogListener::from_listener(listener);
     clients[1].write(&read("large", 1));
     limiter.until(|count| count("dials") == 2);
     ok(&mut stream, "a report");
--- a/tests/limiter/told_time.rs
+++ b/tests/limiter/told_time.rs
@@ -15,12 +15,12 @@
 use serde_json::json;
 
 use crate::harness::*;
-use crate::script::{end_sending, Unopened};
+use crate::script::{shut_down_write, FullBacklogListener};
 
 /// A connection that comes up late leaves its request less time than there was as its attempt was decided.
 #[test]
 fn the_time_told_to_a_server_is_what_is_left_as_the_request_is_written() {
-    let unopened = Unopened::listen();
+    let unopened = FullBacklogListener::listen();
     let late = entry(unopened.address, "s-1", "Ready", 0);
     let (discovery, _push) = discovery();
     let (counter, _) = counter(true);
@@ -69,9 +69,9 @@
     assert_eq!(client.answer().expect("an answer").status(), 200);
 
     // The limiter finds the request and the end of its connection in one moment, and the listener shut.
-    let unopened = Unopened::shut(listener);
+    let unopened = FullBacklogListener::from_listener(listener);
     limiter.freeze();
-    end_sending(&pooled);
+    shut_down_write(&pooled);
     let begun = Instant::now();
     client.write(&read("large", 1));
     limiter.signal("CONT");
--- a/tests/limiter/window.rs
+++ b/tests/limiter/window.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 use crate::harness::*;
-use crate::script::Unopened;
+use crate::script::FullBacklogListener;
 
 /// The first attempt may have run; the second waits for its connection until the window is over.
 #[test]
@@ -22,7 +22,7 @@
         let _ = breaks.lock().unwrap().recv();
         let _ = stream.shutdown(Shutdown::Both);
     });
-    let unopened = Unopened::listen();
+    let unopened = FullBacklogListener::listen();
     let late = entry(unopened.address, "s-2", "Ready", 0);
     let (discovery, push) = discovery();
     let (counter, _) = counter(true);
