--- a/build.rs
+++ b/build.rs
@@ -1,10 +1,11 @@
-//! Generates a wrapper for each function of the C library that takes a descriptor or another `int`.
+//! Generates a wrapper for each C library function that takes a descriptor or another `int`.
 //!
-//! An `int` is passed in the lower half of a register, and the calling convention leaves the upper half undefined. The
-//! kernel reads the lower half alone. A system-call filter, or a socket layer built on one, gets all 64 bits, and may
-//! refuse an open descriptor (EBADF) because of bits in the upper half. Which calls have such bits depends on what the
-//! compiler inlines. The wrappers extend each `int` to the whole register, so that no build of the program makes such a
-//! call. `src/registers.rs` includes them, and its tests check them.
+//! An `int` is passed in the lower half of a register; the calling convention leaves the upper half
+//! undefined, and the kernel reads only the lower half. A system-call filter, or a socket layer built on one,
+//! sees all 64 bits and may refuse an open descriptor (EBADF) because of bits in the upper half. Which calls
+//! are affected depends on what the compiler inlines. The wrappers extend each `int` to the full register, so
+//! that no build of the program makes such calls. `src/registers.rs` includes the wrappers, and its tests
+//! check them.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -22,8 +23,8 @@
 }
 use ArgumentKind::{FullRegister as W, SignedInt as I, UnsignedInt as U};
 
-/// Functions by name, and their arguments up to the last `int`. The last argument of `fcntl` and `ioctl` depends on the
-/// command and is left as it is.
+/// The wrapped functions and their arguments up to the last `int`. The last argument of `fcntl` and `ioctl`
+/// depends on the command and is passed unchanged.
 const FUNCTIONS: &[(&str, &[ArgumentKind])] = &[
     ("accept", &[I]),
     ("accept4", &[I, W, W, I]),
@@ -81,7 +82,7 @@
 const REGISTERS: [(&str, &str); 6] =
     [("rdi", "edi"), ("rsi", "esi"), ("rdx", "edx"), ("rcx", "ecx"), ("r8", "r8d"), ("r9", "r9d")];
 
-/// The assembly of a function's wrapper.
+/// Returns the assembly of a function's wrapper.
 fn wrapper_assembly(name: &str, arguments: &[ArgumentKind]) -> String {
     let mut text = format!(
         ".section .text.__wrap_{name},\"ax\",@progbits\n.globl __wrap_{name}\n.hidden __wrap_{name}\n\
@@ -111,7 +112,7 @@
     println!("cargo::rustc-cfg=whole_registers");
     let assembly: String =
         FUNCTIONS.iter().map(|(name, arguments)| wrapper_assembly(name, arguments)).collect();
-    let path = PathBuf::from(env::var_os("OUT_DIR").expect("cargo sets it")).join("registers.s");
+    let path = PathBuf::from(env::var_os("OUT_DIR").expect("cargo sets OUT_DIR")).join("registers.s");
     fs::write(&path, assembly).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     for (name, _) in FUNCTIONS {
         println!("cargo::rustc-link-arg-bin=sedgestack=-Wl,--wrap={name}");
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: starting one, and what follows from its end.
+//! Starts attempts and handles their ends: settles units, retries or rejects.
 
 use super::backends::OpenAttempt;
 use super::engine::Limiter;
@@ -10,53 +10,54 @@
     Action, AttemptResult, BackendId, BackendState, CustomerId, Idempotency, Micros, Outcome, RequestId,
 };
 
-/// A given-up attempt counts as in flight for as long again: its work goes on, and nobody tells for how long.
-const TIMED_OUT_COUNTS: f64 = 2.0;
-/// An attempt counts for no more than so many expected latencies: one swallowed must not hold a limiter back
-/// for seconds.
-const MAX_EXPECTED: f64 = 8.0;
-/// An attempt is given up after this many expected latencies, if a retry can still meet the latency
-/// objective.
-const TIMEOUT_EXPECTED: f64 = 4.0;
+/// Factor on the duration of a timed-out attempt, whose work goes on at the backend for an unknown time.
+const TIMED_OUT_MULTIPLE: f64 = 2.0;
+/// Maximum duration charged for an attempt, as a multiple of its expected latency, so that one attempt
+/// without an answer does not block a limiter's pacing for seconds.
+const MAX_CHARGED_MULTIPLE: f64 = 8.0;
+/// Timeout of an attempt as a multiple of its expected latency. Set only if a retry can still meet the
+/// latency objective.
+const TIMEOUT_MULTIPLE: f64 = 4.0;
 
-/// Names an attempt; the first of a request is 0.
+/// Identifies an attempt; the first attempt of a request has number 0.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
     pub(super) request: RequestId,
     pub(super) attempt: u32,
 }
 
-/// An attempt that has not ended.
+/// An attempt in flight.
 pub(super) struct InFlightAttempt {
     pub(super) backend: BackendId,
     pub(super) customer: CustomerId,
     pub(super) class: usize,
     pub(super) started_at: Micros,
-    /// How long it was expected to last, microseconds: what the pacing was charged at the start.
+    /// Expected duration in microseconds, which pacing was charged at the start.
     pub(super) expected: f64,
 }
 
 impl InFlightAttempt {
-    /// How its backend keeps it.
+    /// Returns the entry of this attempt in the table of its backend.
     pub(super) fn open_attempt(&self, request: RequestId, attempt: u32) -> OpenAttempt {
         OpenAttempt { started_at: self.started_at, request, attempt, class: self.class }
     }
 
-    /// How much longer than expected it has lasted, microseconds.
+    /// Returns by how many microseconds the attempt has exceeded its expected duration so far.
     pub(super) fn overtime(&self, now: Micros) -> f64 {
         let age = (now - self.started_at) as f64;
-        age.clamp(self.expected, self.expected * MAX_EXPECTED) - self.expected
+        age.clamp(self.expected, self.expected * MAX_CHARGED_MULTIPLE) - self.expected
     }
 
-    /// How much longer than expected it lasted, or shorter (below zero), now that it ended.
+    /// Returns by how many microseconds the ended attempt exceeded its expected duration; negative if it was
+    /// shorter.
     fn final_overtime(&self, outcome: Outcome, now: Micros) -> f64 {
-        let times = if outcome == Outcome::TimedOut { TIMED_OUT_COUNTS } else { 1.0 };
-        ((now - self.started_at) as f64 * times).min(self.expected * MAX_EXPECTED) - self.expected
+        let multiple = if outcome == Outcome::TimedOut { TIMED_OUT_MULTIPLE } else { 1.0 };
+        ((now - self.started_at) as f64 * multiple).min(self.expected * MAX_CHARGED_MULTIPLE) - self.expected
     }
 }
 
 impl Limiter {
-    /// Starts an attempt, and returns the attempt-seconds that it is expected to take.
+    /// Starts an attempt and returns its expected duration in seconds.
     pub(super) fn start_attempt(&mut self, id: RequestId, backend: BackendId) -> f64 {
         let (now, window) = (self.now, self.overload_window());
         let Some(request) = self.requests.get(&id) else { return 0.0 };
@@ -71,7 +72,7 @@
         request.in_flight += 1;
         request.tried.push(backend.clone());
         let (class, customer, units) = (request.class, request.customer, request.units);
-        let (is_first, reported_ahead) = (attempt == 0, request.reported_ahead);
+        let (is_first, is_prechecked) = (attempt == 0, request.is_prechecked);
         let expected = self.latencies.expected(class);
         let in_flight = InFlightAttempt { backend, customer, class, started_at: now, expected };
         if let Some(backend) = self.backends.entries.get_mut(&in_flight.backend) {
@@ -91,18 +92,18 @@
         self.load.record_attempt(expected);
         self.pacing.take(expected);
         self.retry_budget.record_attempt();
-        if is_first && !reported_ahead {
+        if is_first && !is_prechecked {
             self.record_usage(customer, units);
         }
         expected / SECOND
     }
 
-    /// When an attempt is given up: early only for a retry that is allowed, has a backend left, and is in
-    /// time.
+    /// Returns the timeout of an attempt. There is one only if a retry would be allowed, has another backend
+    /// to go to and can be answered in time.
     fn attempt_timeout(&self, request: &PendingRequest, backend: &BackendId) -> Option<Micros> {
         let class = &self.settings.classes[request.class];
         let expected = self.latencies.expected(request.class);
-        let timeout = (expected * TIMEOUT_EXPECTED) as Micros;
+        let timeout = (expected * TIMEOUT_MULTIPLE) as Micros;
         let elapsed = self.now.saturating_sub(request.arrived_at) + timeout + expected as Micros;
         let is_in_time = elapsed < class.latency_objective && self.now + elapsed < request.deadline;
         let may_retry = self.retry_budget.has_retry()
@@ -112,14 +113,15 @@
         can_retry.then_some(timeout)
     }
 
-    /// Whether a backend serves that this request has not been sent to, `next` counted as sent to.
+    /// Whether a backend in service is left that this request has not been sent to; `next` counts as sent to.
     fn has_untried_backend(&self, request: &PendingRequest, next: &BackendId) -> bool {
         self.backends.entries.iter().any(|(name, backend)| {
             backend.state == BackendState::InService && name != next && !request.tried.contains(name)
         })
     }
 
-    /// An attempt ended: learns from it, settles its units, and retries or rejects a request without answer.
+    /// Handles the end of an attempt: updates the backend's statistics, settles the units, and retries or
+    /// rejects a request that has no answer.
     pub(super) fn on_attempt_ended(&mut self, attempt: &InFlightAttempt, end: &AttemptResult) {
         let now = self.now;
         let overtime = attempt.final_overtime(end.outcome, now);
@@ -134,23 +136,24 @@
         if end.request_done {
             return self.remove_request(end.request);
         }
-        let is_unseen = matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
+        let has_not_run =
+            matches!(end.outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
         let Some(request) = self.requests.get_mut(&end.request) else { return };
         request.in_flight = request.in_flight.saturating_sub(1);
-        if !is_unseen && request.first_run.is_none() {
+        if !has_not_run && request.first_run.is_none() {
             let backend = self.backends.entries.get(&attempt.backend);
             let (zone, cell) =
                 backend.map_or((String::from("?"), u32::MAX), |backend| (backend.zone.clone(), backend.cell));
             request.first_run = Some(FirstRun { started_at: attempt.started_at, zone, cell });
         }
-        if self.may_retry(end.request, is_unseen) {
-            self.queue_retry(attempt, end.request, is_unseen);
+        if self.may_retry(end.request, has_not_run) {
+            self.queue_retry(attempt, end.request, has_not_run);
         } else {
             self.reject(end.request);
         }
     }
 
-    /// Replaces the guess of a request's units by the true ones.
+    /// Replaces the estimated units of a request by the actual ones.
     fn settle_units(&mut self, customer: CustomerId, end: &AttemptResult) {
         let (Outcome::Ok, Some(request)) = (end.outcome, self.requests.get(&end.request)) else { return };
         let units = end.actual_units.unwrap_or(request.units);
@@ -162,18 +165,18 @@
         self.record_usage(customer, difference);
     }
 
-    fn may_retry(&self, id: RequestId, is_unseen: bool) -> bool {
+    fn may_retry(&self, id: RequestId, has_not_run: bool) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let class = &self.settings.classes[request.class];
         let is_safe = class.idempotency != Idempotency::NotIdempotent || request.first_run.is_none();
         let is_in_time = self.now + (self.latencies.expected(request.class) as Micros) < request.deadline
             && self.now.saturating_sub(request.arrived_at) < class.latency_objective;
-        let has_budget = is_unseen || self.retry_budget.has_retry();
+        let has_budget = has_not_run || self.retry_budget.has_retry();
         is_safe && is_in_time && has_budget && request.attempts < self.settings.max_attempts
     }
 
-    fn queue_retry(&mut self, attempt: &InFlightAttempt, id: RequestId, is_unseen: bool) {
-        if !is_unseen {
+    fn queue_retry(&mut self, attempt: &InFlightAttempt, id: RequestId, has_not_run: bool) {
+        if !has_not_run {
             self.retry_budget.spend();
         }
         if let Some(c) = self.customers.get_mut(&attempt.customer) {
--- a/src/decision/backends.rs
+++ b/src/decision/backends.rs
@@ -1,4 +1,4 @@
-//! The table of backends as service discovery names them.
+//! The table of the backends that service discovery lists.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,10 +11,10 @@
 use super::slow_start::WindowAttempts;
 use crate::interface::{BackendId, BackendState, Endpoint, Micros, RequestId};
 
-/// Attempts in flight per backend at the start, all limiters together; the limit then follows latency.
+/// Initial limit of attempts in flight per backend, over all limiters; latency adapts it later.
 const INITIAL_LIMIT: f64 = 8.0;
 
-/// An attempt that a backend has not ended. The oldest is the first in order.
+/// An attempt in flight at a backend. The oldest attempt sorts first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct OpenAttempt {
     pub(super) started_at: Micros,
@@ -23,42 +23,43 @@
     pub(super) class: usize,
 }
 
-/// A backend and what is known of it.
+/// The state of a backend as this limiter sees it.
 #[derive(Default)]
 pub(super) struct Backend {
-    /// What the decisions go by: the discovered state, unless an operator cordoned the backend.
+    /// State used in decisions: the discovered state, or draining if an operator cordoned the backend.
     pub(super) state: BackendState,
-    /// The state that service discovery last told.
+    /// State last reported by service discovery.
     pub(super) discovered_state: BackendState,
     pub(super) zone: String,
     pub(super) cell: u32,
-    /// When its process started; 0 for long ago.
+    /// Time at which the backend's process started; 0 if long ago.
     pub(super) started_at: Micros,
     pub(super) in_flight: BTreeSet<OpenAttempt>,
     pub(super) health: BackendHealth,
     pub(super) utilization: ReportedUtilization,
     pub(super) window_attempts: WindowAttempts,
-    /// Root of draws that concern it.
+    /// Hash of the backend's name, the seed of random draws for this backend.
     pub(super) hash: u64,
 }
 
-/// The backends that service discovery named, and what concerns them all.
+/// All listed backends and the values that they share.
 #[derive(Default)]
 pub(super) struct BackendTable {
     pub(super) entries: BTreeMap<BackendId, Backend>,
     /// Version of the newest endpoint list.
     version: Option<u64>,
-    /// Backends that an operator took out: nothing new goes there until they are let back, whatever service
+    /// Backends cordoned by an operator. They get no new attempts until they are uncordoned, whatever service
     /// discovery says.
     pub(super) cordoned: BTreeSet<BackendId>,
-    /// The last rank of the backend subset, in this limiter's own order of backends.
-    pub(super) last_rank: u64,
-    /// Mean of the utilization that backends report.
+    /// Highest rank within the backend subset, in this limiter's own order of backends.
+    pub(super) max_rank: u64,
+    /// Moving average of the utilization that backends report.
     pub(super) mean_utilization: f64,
 }
 
 impl BackendTable {
-    /// Takes in endpoints, all of them or those that changed; returns false for a list older than the newest.
+    /// Applies an endpoint list: all endpoints if `complete`, otherwise those that changed. Returns false and
+    /// changes nothing if the list is older than the newest one.
     fn update(&mut self, version: u64, complete: bool, endpoints: &[Endpoint], limit: f64) -> bool {
         if self.version.is_some_and(|newest| version < newest) {
             return false;
@@ -97,7 +98,7 @@
                 backend
             }
         };
-        // Guards drains: from this moment on nothing new goes there, whatever is queued or retried.
+        // From here on a draining backend gets nothing new, not even queued requests or retries.
         backend.discovered_state = endpoint.state;
         backend.state = effective_state(&self.cordoned, &endpoint.backend, endpoint.state);
         backend.zone = endpoint.zone.clone();
@@ -106,7 +107,7 @@
 }
 
 impl Limiter {
-    /// Service discovery named backends.
+    /// Handles an endpoint list from service discovery.
     pub(super) fn on_endpoints_changed(&mut self, version: u64, complete: bool, endpoints: &[Endpoint]) {
         let limit = (INITIAL_LIMIT / self.settings.limiters as f64).max(1.0);
         if self.backends.update(version, complete, endpoints, limit) {
--- a/src/decision/concurrency.rs
+++ b/src/decision/concurrency.rs
@@ -1,4 +1,4 @@
-//! Permits under a concurrency limit that limiters share through the quota counter.
+//! Concurrency permits: the limiters share a customer's concurrency limit through the quota counter.
 
 use std::collections::VecDeque;
 
@@ -8,34 +8,35 @@
 use super::usage_reports::counter_name;
 use crate::interface::{Action, CounterName, CustomerId, Micros, Outcome};
 
-/// Permits live this long on the counter: what a killed limiter held is then free again.
+/// Time to live of permits on the counter, after which the permits of a killed limiter are free again.
 const PERMIT_TIME_TO_LIVE: Micros = 10_000_000;
-/// A permit that was not there is asked for again after twice this, then four times: a short attempt's time.
+/// Base of the delay after a denied permit: the duration of a short attempt. It doubles with each denial in a
+/// row, the first included.
 const RETRY_DELAY: Micros = 12_000;
-/// A denied permit's delay doubles so many times at most.
-const MAX_DENIALS: u32 = MAX_COOLDOWN_DOUBLINGS;
-/// Stands for the window in the counter name of permits.
+/// Maximum number of times that the delay after denials is doubled.
+const MAX_DENIAL_DOUBLINGS: u32 = MAX_COOLDOWN_DOUBLINGS;
+/// Used in place of the window in the counter name of permits.
 const PERMIT_WINDOW: u64 = u64::MAX - 1;
 
-/// Attempts that a customer has in flight, and the permits for them that the counter holds.
+/// A customer's attempts in flight, and the concurrency permits that this limiter holds for them.
 #[derive(Default)]
 pub(super) struct ConcurrencyPermits {
     pub(super) in_flight: u32,
-    /// Permits taken on the counter.
+    /// Permits held on the counter.
     reserved: u32,
-    /// Amounts of calls still to be answered, in order; above zero, a permit is asked for.
+    /// Amounts of the calls in flight, oldest first; a positive amount requests a permit.
     calls: VecDeque<f64>,
-    /// What a failed call left to be returned with the next.
-    owed: f64,
-    /// Denials in a row.
+    /// Amount, zero or negative, that failed calls did not return; it is added to the next call.
+    unreturned: f64,
+    /// Consecutive denials.
     denials: u32,
-    /// The last permit asked for was not there: not before this is one asked for again.
+    /// Earliest time of the next request for a permit after a denial.
     retry_at: Micros,
 }
 
 impl ConcurrencyPermits {
-    /// Whether a call for a permit may go out: no other is out, this limiter alone does not use up the limit,
-    /// and no delay is on.
+    /// Whether a permit may be requested: no request is in flight, this limiter alone does not exhaust the
+    /// limit, and no delay after a denial is running.
     fn may_ask(&self, limit: u32, now: Micros) -> bool {
         let is_asking = self.calls.iter().any(|amount| *amount > 0.0);
         !is_asking && self.in_flight < limit && now >= self.retry_at
@@ -46,14 +47,14 @@
         self.denials = 0;
     }
 
-    /// Delays the next call, and returns when that is.
+    /// Records a denial and returns the time of the next request.
     fn deny(&mut self, now: Micros) -> Micros {
-        self.denials = (self.denials + 1).min(MAX_DENIALS);
+        self.denials = (self.denials + 1).min(MAX_DENIAL_DOUBLINGS);
         self.retry_at = now + (RETRY_DELAY << self.denials);
         self.retry_at
     }
 
-    /// Gives up permits beyond those `needed`, and returns how many.
+    /// Releases the permits beyond those `needed` and returns their number.
     fn take_spare(&mut self, needed: u32) -> u32 {
         let spare = self.reserved.saturating_sub(needed);
         self.reserved -= spare;
@@ -61,14 +62,15 @@
     }
 }
 
-/// Whether a counter name is that of a customer's permits.
+/// Whether `name` is the counter name of the customer's permits.
 pub(super) fn is_permit_name(name: CounterName, customer: CustomerId) -> bool {
     name == counter_name(customer, PERMIT_WINDOW)
 }
 
 impl Limiter {
-    /// Whether a customer may have one more attempt in flight. Where few limiters share a concurrency limit,
-    /// a permit is taken on the counter before the send and returned when no attempt needs it.
+    /// Whether a customer may have one more attempt in flight. In few-limiters mode with a shared concurrency
+    /// limit, a permit is taken on the counter before the attempt is sent, and returned when no attempt needs
+    /// it.
     pub(super) fn acquire_permit(&mut self, customer: CustomerId) -> bool {
         let has_counter = self.has_counter();
         let Some(c) = self.customers.get_mut(&customer) else { return false };
@@ -77,7 +79,8 @@
             return true;
         }
         if self.many_limiters || !has_counter || c.spread <= 1.0 {
-            // The even share while the counter is silent; over many limiters the quota slice holds the limit.
+            // The even share applies while the counter does not answer. In many-limiters mode the quota slice
+            // already enforces the limit as a rate.
             let even = if self.many_limiters { limit } else { (f64::from(limit) / c.spread) as u32 };
             return c.permits.in_flight < even.max(1);
         }
@@ -91,26 +94,27 @@
         let name = counter_name(customer, PERMIT_WINDOW);
         let Some(c) = self.customers.get_mut(&customer) else { return };
         c.permits.calls.push_back(amount);
-        let amount = amount + std::mem::take(&mut c.permits.owed);
+        let amount = amount + std::mem::take(&mut c.permits.unreturned);
         self.counter_names.insert(name, customer);
         self.actions.push(Action::CallCounter { name, amount, time_to_live: PERMIT_TIME_TO_LIVE });
     }
 
-    /// The counter's answer for a permit: kept if the total is within the limit, else returned.
+    /// Handles the counter's reply to a permit call: keeps the permit if the total is within the limit,
+    /// otherwise returns it.
     pub(super) fn on_permit_reply(&mut self, customer: CustomerId, outcome: Outcome, total: Option<f64>) {
         let Some(c) = self.customers.get_mut(&customer) else { return };
         let permits = &mut c.permits;
         let Some(amount) = permits.calls.pop_front() else { return };
         let Some(total) = total.filter(|_| outcome == Outcome::Ok) else {
-            permits.owed += if outcome == Outcome::TimedOut { 0.0 } else { amount.min(0.0) };
+            permits.unreturned += if outcome == Outcome::TimedOut { 0.0 } else { amount.min(0.0) };
             self.on_counter_failure();
             return self.join_rotation(customer);
         };
         if amount < 0.0 {
             return;
         }
-        // Guards against lost counts: a total under what this limiter holds means a flush.
-        permits.owed += (f64::from(permits.reserved) + 1.0 - total).max(0.0);
+        // A total below the permits that this limiter holds means that the counter lost its counts.
+        permits.unreturned += (f64::from(permits.reserved) + 1.0 - total).max(0.0);
         if total <= f64::from(self.settings.plans[c.plan].concurrency_limit) {
             permits.grant();
             return self.join_rotation(customer);
--- a/src/decision/cordons.rs
+++ b/src/decision/cordons.rs
@@ -1,4 +1,5 @@
-//! Cordons: backends taken out by an operator, whatever service discovery says, until they are let back.
+//! Cordons: an operator takes a backend out of service, whatever service discovery says, until it is
+//! uncordoned.
 
 use std::collections::BTreeSet;
 
@@ -6,11 +7,12 @@
 use super::engine::Limiter;
 use crate::interface::{BackendId, BackendState};
 
-/// A backend that looks so many times as slow as its like is passed over while an idle one is there.
-const AVOIDED_FROM: f64 = 4.0;
+/// Slowness, relative to other backends, from which a backend counts as avoided: it is passed over while an
+/// idle one is available.
+const AVOIDED_SLOWNESS: f64 = 4.0;
 
-/// The state that the decisions go by for a backend that service discovery calls `discovered`: a cordoned
-/// backend drains, whatever service discovery says; one that it drains or has lost stays so.
+/// Returns the state used in decisions for a backend whose discovered state is `discovered`. A cordoned
+/// backend in service counts as draining; one that is draining or gone keeps its state.
 pub(super) fn effective_state(
     cordoned: &BTreeSet<BackendId>,
     backend: &BackendId,
@@ -37,17 +39,17 @@
 }
 
 impl Limiter {
-    /// Cordons `backend`, or lets it back in. From this moment on nothing new goes to a cordoned backend:
-    /// neither a first attempt nor a retry nor a queued request. A backend let back in is chosen again at
-    /// once, as service discovery has it; one that started anew meanwhile warms up.
+    /// Cordons or uncordons `backend`. A cordoned backend gets nothing new from now on: no first attempt, no
+    /// retry, no queued request. An uncordoned backend can be selected again at once in its discovered state;
+    /// if it restarted in the meantime, it warms up.
     pub(super) fn on_cordon(&mut self, backend: &BackendId, cordoned: bool) {
         self.backends.cordon(backend, cordoned);
         self.choose_subset();
     }
 
-    /// Counts the backends that service discovery names, and those of them that are avoided now: cordoned or
-    /// draining ones, those that said they are full, and those that look several times as slow as
-    /// their like, silence counted.
+    /// Counts the listed backends and those of them that are avoided now: cordoned or draining ones, full
+    /// ones, and ones that look several times as slow as the others. Waiting for an answer counts as
+    /// slowness.
     pub fn backend_counts(&self) -> BackendCounts {
         let mut counts = BackendCounts::default();
         let discovered = |b: &&Backend| b.discovered_state != BackendState::Gone;
@@ -61,17 +63,16 @@
     fn is_avoided(&self, backend: &Backend) -> bool {
         backend.state != BackendState::InService
             || self.is_full(backend)
-            || self.slowness(backend) >= AVOIDED_FROM
+            || self.slowness(backend) >= AVOIDED_SLOWNESS
     }
 }
 
-/// How many backends service discovery names, and how many of them get nothing or little now.
+/// Number of listed backends, and of those that currently get few or no requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendCounts {
-    /// Backends that service discovery names, draining ones included.
+    /// Backends that service discovery lists, draining ones included.
     pub listed: usize,
-    /// Those of the listed backends that are cordoned, draining, full, or several times as slow as the
-    /// others.
+    /// Listed backends that are cordoned, draining, full, or several times as slow as the others.
     pub avoided: usize,
 }
 
--- a/src/decision/customers.rs
+++ b/src/decision/customers.rs
@@ -1,5 +1,4 @@
-//! What a customer may use: its quota, this limiter's slice of it, and the units reserved for queued
-//! requests.
+//! Per-customer state: the quota, this limiter's slice of it, and the units reserved for queued requests.
 
 use super::concurrency::ConcurrencyPermits;
 use super::engine::Limiter;
@@ -10,45 +9,44 @@
 use super::SECOND;
 use crate::interface::{Micros, Request, RequestId};
 
-/// Of a concurrency limit so many square roots are left free, as arrivals come by chance.
+/// Part of a concurrency limit that is left unused because arrivals are random, in square roots of the limit.
 const CONCURRENCY_SLACK: f64 = 0.8;
-/// Idle customers with a full bucket are dropped after this long: longer than a burst takes to refill.
-const FORGET_AFTER: Micros = 20_000_000;
-/// Errors of rounding that don't count against a request.
-const ROUNDING: f64 = 1e-9;
+/// Time without activity after which a customer is dropped: longer than a burst takes to refill.
+const IDLE_TIMEOUT: Micros = 20_000_000;
+/// Tolerance for rounding errors when units are compared, in units.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// What a customer may use, all limiters together.
+/// Rate and burst of a customer over all limiters.
 #[derive(Clone, Copy)]
 pub(super) struct Quota {
     pub(super) rate: f64,
     pub(super) burst: f64,
 }
 
-/// The part of a quota that this limiter grants by itself.
+/// The part of a quota that this limiter grants on its own.
 #[derive(Default)]
 pub(super) struct QuotaSlice {
     pub(super) bucket: TokenBucket,
-    /// Units granted to queued requests that have not been sent.
+    /// Units granted to queued requests that have not been sent yet.
     pub(super) reserved: f64,
-    /// Estimate of the level of the quota's bucket common to all limiters.
+    /// Estimated level of the quota's token bucket over all limiters.
     pub(super) shared_level: f64,
 }
 
 impl QuotaSlice {
-    /// The even share, until the counter has told of the others.
+    /// Creates the even share, used until the counter has reported the usage of other limiters.
     fn even(quota: Quota, spread: f64, now: Micros) -> QuotaSlice {
         let even = quota.burst / spread;
-        let bucket = TokenBucket { level: even, rate: quota.rate / spread, capacity: even, at: now };
+        let bucket = TokenBucket { level: even, rate: quota.rate / spread, capacity: even, refilled_at: now };
         QuotaSlice { bucket, reserved: 0.0, shared_level: quota.burst }
     }
 
-    /// Whether there is a quota at all.
+    /// Whether the customer has a quota.
     pub(super) fn is_limited(&self) -> bool {
         self.bucket.rate > 0.0
     }
 
-    /// Goes over to another quota or spread. Nothing is refilled, so that changing them to and fro gains
-    /// nothing.
+    /// Switches to another quota or spread. The level never rises, so switching back and forth gains nothing.
     fn change_quota(&mut self, quota: Quota, spread: f64) {
         let even = quota.burst / spread;
         self.bucket.rate = quota.rate / spread;
@@ -57,11 +55,11 @@
         self.shared_level = self.shared_level.min(quota.burst);
     }
 
-    /// Takes units for a request, if they are there. A request larger than the whole slice goes when the
-    /// slice is full.
+    /// Reserves units for a request if they are available. A request larger than the slice's capacity is
+    /// granted when the slice is full.
     fn try_reserve(&mut self, units: f64, now: Micros) -> bool {
         self.bucket.refill(now);
-        let is_enough = self.bucket.level + ROUNDING >= units.min(self.bucket.capacity);
+        let is_enough = self.bucket.level + ROUNDING_TOLERANCE >= units.min(self.bucket.capacity);
         if is_enough {
             self.bucket.level -= units;
             self.reserved += units;
@@ -69,38 +67,38 @@
         is_enough
     }
 
-    /// Returns the units of a request that was never sent.
+    /// Puts the units of a request that was never sent back into the bucket.
     pub(super) fn cancel_reservation(&mut self, units: f64) {
         self.bucket.level += units;
         self.reserved -= units;
     }
 }
 
-/// A customer, and what this limiter knows of it.
+/// The state of a customer at this limiter.
 #[derive(Default)]
 pub(super) struct Customer {
     pub(super) plan: usize,
-    /// How many limiters its requests come in through.
+    /// Number of limiters that receive this customer's requests.
     pub(super) spread: f64,
     pub(super) slice: QuotaSlice,
     pub(super) ceiling: TokenBucket,
     pub(super) usage: UsageReports,
     pub(super) permits: ConcurrencyPermits,
-    /// Its queue in each tier.
+    /// The customer's queue in each tier.
     pub(super) queues: Vec<TierQueue>,
     pub(super) last_active_at: Micros,
 }
 
 impl Customer {
-    /// Whether dropping it would lose something: open attempts, unreported usage, or what its ceiling has
-    /// left.
+    /// Whether dropping the customer would lose attempts in flight, unreported usage, or the level of its
+    /// ceiling.
     fn is_needed(&self) -> bool {
         self.permits.in_flight > 0 || self.usage.unreported != 0.0 || self.ceiling.rate > 0.0
     }
 }
 
 impl Limiter {
-    /// Adds a request's customer if it is new, and lets it follow the request's plan and spread.
+    /// Adds the customer of a request if it is new, and updates its plan and spread from the request.
     pub(super) fn update_customer(&mut self, request: &Request) {
         let (now, quota) = (self.now, self.quota(request.plan));
         let plan = &self.settings.plans[request.plan];
@@ -111,22 +109,21 @@
             plan: request.plan,
             spread,
             slice: QuotaSlice::even(quota, spread, now),
-            // Guards against a restart refilling the ceiling: a new process starts it empty.
-            ceiling: TokenBucket { level: (rate * uptime).min(capacity), rate, capacity, at: now },
+            // A new process starts with an empty ceiling, so that a restart does not refill it.
+            ceiling: TokenBucket { level: (rate * uptime).min(capacity), rate, capacity, refilled_at: now },
             queues: (0..self.rotations.tiers()).map(|_| TierQueue::default()).collect(),
             ..Customer::default()
         });
         customer.last_active_at = now;
         if (customer.plan, customer.spread) != (request.plan, spread) {
-            // Guards usual customers: who first spoke in a customer's name does not settle its plan and
-            // spread for good.
+            // The first request in a customer's name must not fix its plan and spread for good.
             (customer.plan, customer.spread) = (request.plan, spread);
             customer.slice.change_quota(quota, spread);
             (customer.ceiling.rate, customer.ceiling.capacity) = (rate, capacity);
         }
     }
 
-    /// Takes a request's units from its customer's slice, or rejects it.
+    /// Takes a request's units from its customer's slice; rejects the request if they are not available.
     pub(super) fn take_quota(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         let limited = self.customers.get_mut(&request.customer).filter(|c| c.slice.is_limited());
@@ -138,8 +135,9 @@
         has_quota
     }
 
-    /// Rate and burst that a plan allows. Over many limiters a concurrency limit acts as the rate that keeps
-    /// so many in flight (Little's law), less what chance arrivals need, and slows when answers do.
+    /// Returns the rate and burst that a plan allows. In many-limiters mode a concurrency limit becomes the
+    /// rate that keeps that many attempts in flight on average (Little's law), less a margin for random
+    /// arrivals; the rate falls when answers slow down.
     pub(super) fn quota(&self, plan: usize) -> Quota {
         let plan = &self.settings.plans[plan];
         if plan.concurrency_limit == 0 || !self.many_limiters {
@@ -154,28 +152,29 @@
         Quota { rate, burst: (limit * self.mean_units).max(self.settings.max_units) }
     }
 
-    /// Whether the quota lets a queued request leave. The counter is asked only now: what is shed needs none.
-    pub(super) fn has_quota(&mut self, id: RequestId) -> bool {
+    /// Acquires the quota of a queued request and returns whether it may be sent now; false while a precheck
+    /// is pending. The counter is queried only at this point, as a request that is shed needs no query.
+    pub(super) fn acquire_quota(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id).filter(|request| !request.has_quota) else { return true };
         let (customer, units, tier) = (request.customer, request.units, self.tier_of[request.class]);
-        let Some(at) = self.question_at(id) else { return self.take_quota(id) };
+        let Some(at) = self.precheck_at(id) else { return self.take_quota(id) };
         let Some(c) = self.customers.get_mut(&customer) else { return false };
         if at > self.now {
             self.timers.schedule(at + 1, TimerKind::JoinRotation(customer));
         } else if c.usage.call.is_none() {
-            c.usage.waiting.extend(c.queues[tier].requests.pop_front());
+            c.usage.awaiting_reading.extend(c.queues[tier].requests.pop_front());
             c.usage.unreported += units;
             if let Some(request) = self.requests.get_mut(&id) {
-                (request.reported_ahead, request.has_quota) = (true, true);
+                (request.is_prechecked, request.has_quota) = (true, true);
             }
             self.report_usage(customer);
         }
         false
     }
 
-    /// Drops customers of whom nothing was seen for long and nothing is lost.
+    /// Drops customers that have been idle for a while and hold no state worth keeping.
     pub(super) fn forget_idle_customers(&mut self) {
         let now = self.now;
-        self.customers.retain(|_, c| c.last_active_at + FORGET_AFTER > now || c.is_needed());
+        self.customers.retain(|_, c| c.last_active_at + IDLE_TIMEOUT > now || c.is_needed());
     }
 }
--- a/src/decision/demand.rs
+++ b/src/decision/demand.rs
@@ -1,51 +1,53 @@
-//! The demand-following slice: a customer's demand here and elsewhere, by readings of the counter, and the
-//! quota slice cut by it.
+//! The demand-following quota slice: estimates a customer's demand here and at other limiters from readings
+//! of the counter, and sizes this limiter's slice by it.
 
 use super::customers::{Customer, Quota};
 use super::usage_reports::COUNTER_WINDOW;
 use super::SECOND;
 use crate::interface::Micros;
 
-/// Memory of the demand rates: a few readings, shorter than demand takes to shift.
+/// Time constant of the demand rates, microseconds: a few readings, but shorter than the time in which demand
+/// shifts.
 const DEMAND_MEMORY: f64 = 2.0 * SECOND;
-/// Before a window has told much, a customer is taken to use this share of its quota: well under it.
+/// Share of its quota that a customer is assumed to use until a window has enough usage to tell: well under
+/// it.
 const INITIAL_USE: f64 = 0.8;
-/// A customer that used all of its quota within a window is taken to have come into it with nothing, one that
-/// left so much of it or more unused with a full bucket.
+/// If at least this share of the quota was unused in a window, the bucket is assumed to have been full when
+/// the window began; if none was unused, it is assumed to have been empty.
 const UNUSED_IF_FULL: f64 = 0.5;
-/// Least quota, in units, that a share of it is taken of.
+/// Minimum quota, in units, used as a divisor.
 const MIN_UNITS: f64 = 1e-3;
 
 /// A total read from the counter.
 #[derive(Clone, Copy)]
 pub(super) struct Reading {
-    /// The window of the counter name.
+    /// Window of the counter name.
     pub(super) window: u64,
     pub(super) total: f64,
     pub(super) at: Micros,
 }
 
 impl Reading {
-    /// How long its window had lasted.
+    /// Age of the window when the reading was taken, microseconds.
     fn window_age(&self) -> f64 {
         self.at.saturating_sub(self.window * COUNTER_WINDOW).max(1) as f64
     }
 }
 
-/// Units that all limiters used in a span before a reading.
+/// Usage of all limiters over a time span before a reading.
 struct ObservedUsage {
     units: f64,
     span: f64,
-    /// The part of the span that the reading itself tells of.
+    /// Part of the span that the reading itself covers.
     observed: f64,
 }
 
-/// A customer's demand, units a second.
+/// A customer's demand, in units per second.
 #[derive(Default)]
 pub(super) struct Demand {
     own_rate: f64,
     others_rate: f64,
-    /// Own units reported since the last reading, surely or perhaps.
+    /// Units reported by this limiter since the last reading, including those of calls that timed out.
     reported: f64,
     last: Option<Reading>,
 }
@@ -59,9 +61,9 @@
         self.last.map(|reading| now.saturating_sub(reading.at))
     }
 
-    /// Takes in a reading; returns what it tells, if it tells anything. Totals of one name are differenced,
-    /// so a flush costs one reading and no more. The first total of a name tells the usage since the name's
-    /// start; what came before went on as last known.
+    /// Records a reading and returns the usage that follows from it, if any. Usage is the difference of two
+    /// totals of one name, so lost counts spoil only one reading. The first total of a name covers the usage
+    /// since the name's start; the time before is assumed to have continued at the last known rate.
     fn record(&mut self, reading: Reading) -> Option<ObservedUsage> {
         let usage = self.observe(reading);
         self.last = Some(reading);
@@ -99,7 +101,7 @@
 }
 
 impl Customer {
-    /// Takes in a reading, and cuts the slice anew by it.
+    /// Records a reading and resizes the slice by it.
     pub(super) fn take_reading(
         &mut self,
         reading: Reading,
@@ -108,8 +110,9 @@
         many_limiters: bool,
     ) {
         let Some(usage) = self.usage.demand.record(reading) else { return };
-        // Guards against rejections with quota left: what was sent beyond the quota took nothing from its
-        // bucket. Where limiters are many, questions are rejected by what is missing.
+        // Requests sent beyond the quota took nothing from its bucket, so the level must not show them as a
+        // debt, which would reject requests while quota is left. In many-limiters mode the level may be
+        // negative: prechecks are rejected by the amount that is missing.
         let level = if many_limiters {
             let age = reading.window_age();
             let initial = level_at_window_start(quota, reading.total, age / SECOND);
@@ -119,28 +122,28 @@
             (self.slice.shared_level + gained - usage.units).clamp(0.0, quota.burst)
         };
         self.slice.shared_level = level;
-        self.cut_slice(quota, max_units, reading.at);
+        self.resize_slice(quota, max_units, reading.at);
     }
 
-    /// Cuts the slice anew: the quota times this limiter's part of the usage, never under the even share,
-    /// plus its part of what is left of the quota.
-    fn cut_slice(&mut self, quota: Quota, max_units: f64, now: Micros) {
+    /// Resizes the slice: the quota times this limiter's share of the usage, at least the even share, plus an
+    /// even share of the unused rate.
+    fn resize_slice(&mut self, quota: Quota, max_units: f64, now: Micros) {
         let demand = &self.usage.demand;
         let all = demand.own_rate + demand.others_rate;
-        let own_part = if all > 0.0 { demand.own_rate / all } else { 0.0 }.max(1.0 / self.spread);
+        let own_share = if all > 0.0 { demand.own_rate / all } else { 0.0 }.max(1.0 / self.spread);
         let left = (quota.rate - all).max(0.0) / self.spread;
         let bucket = &mut self.slice.bucket;
-        bucket.at = now;
-        bucket.rate = quota.rate * own_part + left;
-        bucket.capacity = (quota.burst * own_part).max(max_units.min(quota.burst));
-        // Guards against granting twice what queued requests have been granted already.
-        bucket.level = (self.slice.shared_level - self.usage.unreported) * own_part - self.slice.reserved;
+        bucket.refilled_at = now;
+        bucket.rate = quota.rate * own_share + left;
+        bucket.capacity = (quota.burst * own_share).max(max_units.min(quota.burst));
+        // Units already granted to queued requests must not be granted again.
+        bucket.level = (self.slice.shared_level - self.usage.unreported) * own_share - self.slice.reserved;
     }
 }
 
-/// The level that a customer's bucket is taken to have had when a window began, by its usage since. Guards
-/// against a full bucket at each new name for a customer that has had none for long. Could reject one that at
-/// once asks for a full one.
+/// Estimates the level of a customer's bucket when a window began, from its usage since. Without it, a
+/// customer that used up its quota would get a full bucket with each new name. May wrongly reject a customer
+/// that asks for a full bucket at once.
 fn level_at_window_start(quota: Quota, used: f64, seconds: f64) -> f64 {
     let share = (used + INITIAL_USE * quota.burst) / (quota.rate * seconds + quota.burst).max(MIN_UNITS);
     quota.burst * ((1.0 - share) / UNUSED_IF_FULL).clamp(0.0, 1.0)
--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -1,4 +1,4 @@
-//! The limiter itself: takes events in, hands each to the module that it concerns, and returns the actions.
+//! The limiter: passes each event to the module that handles it and collects the resulting actions.
 
 use std::collections::BTreeMap;
 
@@ -20,56 +20,59 @@
     Action, Class, CounterName, CustomerId, Discovery, Event, Micros, RequestId, Settings, SettingsError,
 };
 
-/// More limiters than this see too little of single backends and customers: they go by pacing, by rates in
-/// place of concurrency limits, and ask the counter before they send.
+/// Largest number of limiters that runs in few-limiters mode. With more, each limiter sees too little of
+/// single backends and customers, so it uses pacing, turns concurrency limits into rates, and queries the
+/// quota counter before it sends.
 const FEW_LIMITERS: u32 = 4;
-/// After a failed discovery call the next waits for an eighth of the interval, and at most twice that.
-const DISCOVERY_RETRY_PART: u64 = 8;
+/// A failed discovery call is retried after one to two times the polling interval divided by this.
+const DISCOVERY_RETRY_DIVISOR: u64 = 8;
 
-/// The decisions of one limiter.
+/// Makes the decisions of one limiter.
 ///
-/// Feed it every event in order through [`handle`](Limiter::handle) and carry out the actions it returns.
+/// Pass every event, in order, to [`handle`](Limiter::handle) and carry out the actions that it returns.
 #[derive(Default)]
 pub struct Limiter {
     pub(super) settings: Settings,
-    /// When it was first fed.
+    /// Time of the first call of [`handle`](Limiter::handle).
     pub(super) started_at: Option<Micros>,
     pub(super) now: Micros,
-    /// What is to be done, so far.
+    /// Actions collected during the current call of [`handle`](Limiter::handle).
     pub(super) actions: Vec<Action>,
     pub(super) timers: Timers,
     pub(super) random: Random,
     pub(super) requests: BTreeMap<RequestId, PendingRequest>,
     pub(super) attempts: BTreeMap<AttemptId, InFlightAttempt>,
     pub(super) customers: BTreeMap<CustomerId, Customer>,
-    /// Whose counter name is whose, where a call is out.
+    /// The customer behind each counter name that has a call in flight.
     pub(super) counter_names: BTreeMap<CounterName, CustomerId>,
     pub(super) backends: BackendTable,
-    /// Too many limiters for each to see enough of single backends.
+    /// Whether the limiter runs in many-limiters mode; see [`FEW_LIMITERS`].
     pub(super) many_limiters: bool,
-    /// Tier of each class.
+    /// Tier of each class, by class index.
     pub(super) tier_of: Vec<usize>,
     pub(super) rotations: Rotations,
     pub(super) latencies: Latencies,
-    /// How long a sign of fullness stands: the shortest latency objective.
+    /// Time after which signs of a full backend expire: the shortest latency objective of all classes.
     pub(super) cooldown: Micros,
     pub(super) retry_budget: RetryBudget,
-    /// Mean units of an answered request.
+    /// Moving average of the units of an answered request.
     pub(super) mean_units: f64,
     pub(super) fullness: FleetFullness,
     pub(super) pacing: Pacing,
     pub(super) load: LoadMeter,
     pub(super) counter_budget: CounterBudget,
-    /// Share of late of the questions to the counter that found nothing left.
-    pub(super) empty_share: f64,
+    /// Moving average of the share of quota prechecks (see [`Limiter::precheck_at`]) that found no quota
+    /// left.
+    pub(super) precheck_rejection_share: f64,
     pub(super) versions: VersionSlots,
 }
 
 impl Limiter {
-    /// A limiter that has just come up; `seed` feeds all its random draws.
+    /// Creates a limiter; `seed` determines all of its random draws.
     ///
     /// # Errors
-    /// If the settings can't be meant.
+    ///
+    /// Returns an error if the settings are invalid.
     pub fn new(mut settings: Settings, seed: u64) -> Result<Limiter, SettingsError> {
         check(&settings)?;
         settings.limiters = settings.limiters.max(1);
@@ -92,7 +95,7 @@
         })
     }
 
-    /// Takes in what happened up to `now` and returns what to do, in order.
+    /// Handles the events up to `now` and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         self.now = now.max(self.now);
         self.start();
@@ -110,7 +113,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// What the first events find undone.
+    /// Initializes the limiter on the first call of [`handle`](Limiter::handle).
     fn start(&mut self) {
         if self.started_at.is_some() {
             return;
@@ -147,8 +150,8 @@
 
     fn on_timer(&mut self, timer: TimerKind) {
         match timer {
-            // Guards the one answer in time; a queued request goes while a client retry can still meet its
-            // latency objective.
+            // Makes sure that each request is answered in time. A queued request is rejected earlier, while a
+            // client retry can still meet its latency objective.
             TimerKind::RequestDeadline(id) => {
                 if self.requests.get(&id).is_some_and(|request| !request.is_streaming) {
                     self.reject(id);
@@ -161,22 +164,23 @@
             }
             TimerKind::UsageReport(customer) => self.report_usage(customer),
             TimerKind::JoinRotation(customer) => self.join_rotation(customer),
-            // Every call of `handle` ends with a release.
+            // No work here: every call of `handle` ends with a release.
             TimerKind::Release => {}
             TimerKind::Subscribe => self.actions.push(Action::Subscribe),
         }
     }
 
-    /// Asks service discovery again: well within the interval, and not all limiters at once.
+    /// Schedules another discovery call, well within the polling interval and with jitter, so that limiters
+    /// do not call at the same time.
     fn on_discovery_failed(&mut self) {
         if let Discovery::Poll { interval } = self.settings.discovery {
-            let part = interval / DISCOVERY_RETRY_PART;
-            let wait = part + self.random.draw(self.now) % (part + 1);
+            let min_wait = interval / DISCOVERY_RETRY_DIVISOR;
+            let wait = min_wait + self.random.draw(self.now) % (min_wait + 1);
             self.timers.schedule(self.now + wait, TimerKind::Subscribe);
         }
     }
 
-    /// A stream binds the request to its attempt: no time-out and no deadline any more.
+    /// Binds the request to the attempt that streams its answer: timeout and deadline no longer apply.
     fn on_stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_streaming = true;
@@ -184,7 +188,7 @@
     }
 }
 
-/// The priority weight of each tier: the classes of the highest weight are tier 0.
+/// Returns the priority weight of each tier, highest first.
 fn tier_weights(classes: &[Class]) -> Vec<f64> {
     let mut weights: Vec<f64> = classes.iter().map(|class| class.priority_weight).collect();
     weights.sort_by(|a, b| b.total_cmp(a));
--- a/src/decision/latencies.rs
+++ b/src/decision/latencies.rs
@@ -1,30 +1,31 @@
-//! Latencies over all backends, per request class.
+//! Latency statistics over all backends, per request class.
 
 use super::SECOND;
 use crate::interface::{Class, Micros};
 
-/// First guess of what an idle backend needs, as a share of the latency objective.
+/// Initial estimate of the latency of an idle backend, as a share of the latency objective.
 const INITIAL_SHARE: f64 = 0.2;
-/// Weight of the newest latency in a mean.
+/// Weight of the newest value in a moving average.
 pub(super) const MEAN_WEIGHT: f64 = 0.02;
-/// Rise of the idle latency a second: slow enough to outlast overloads.
+/// Rise of the idle latency per second, as a share: slow enough to outlast an overload.
 const IDLE_RISE: f64 = 0.01;
 
-/// What answers of one class take, microseconds.
+/// Latencies of one class, microseconds.
 #[derive(Clone, Copy)]
 pub(super) struct ClassLatency {
     pub(super) mean: f64,
-    /// The least mean of late, taken as what an idle backend needs.
+    /// Recent minimum of the mean, taken as the latency of an idle backend.
     pub(super) idle: f64,
 }
 
-/// What answers take.
+/// Latencies of all classes.
 #[derive(Default)]
 pub(super) struct Latencies {
     pub(super) classes: Vec<ClassLatency>,
-    /// How many times slower than idle the tightest class may be served within its objective.
+    /// How many times the idle latency fits into the latency objective, for the class with the tightest
+    /// ratio.
     pub(super) headroom: f64,
-    /// Mean over all answers, microseconds.
+    /// Mean latency of all answers, microseconds.
     pub(super) mean: f64,
 }
 
@@ -41,29 +42,29 @@
         }
     }
 
-    /// How long an attempt of this class is expected to last.
+    /// Returns the expected latency of an attempt of this class, microseconds.
     pub(super) fn expected(&self, class: usize) -> f64 {
         self.classes[class].mean
     }
 
-    /// What an idle backend needs for this class.
+    /// Returns the latency of an idle backend for this class, microseconds.
     pub(super) fn idle(&self, class: usize) -> f64 {
         self.classes[class].idle
     }
 
-    /// Takes in how long an attempt took, answered or given up.
+    /// Records the latency of an attempt that was answered or timed out.
     pub(super) fn record_attempt(&mut self, class: usize, latency: f64) {
         let class = &mut self.classes[class];
         class.mean += MEAN_WEIGHT * (latency - class.mean);
         class.idle = class.idle.min(class.mean);
     }
 
-    /// Takes in how long an answer took.
+    /// Records the latency of an answer.
     pub(super) fn record_answer(&mut self, latency: f64) {
         self.mean += MEAN_WEIGHT * (latency - self.mean);
     }
 
-    /// Lets the idle latencies rise for `span`, as far as the means, and measures the headroom by them.
+    /// Raises the idle latencies for the elapsed `span`, up to the means, and updates the headroom.
     pub(super) fn raise_idle(&mut self, classes: &[Class], span: Micros) {
         for class in &mut self.classes {
             class.idle = (class.idle * (1.0 + IDLE_RISE * span as f64 / SECOND)).min(class.mean);
--- a/src/decision/load.rs
+++ b/src/decision/load.rs
@@ -1,29 +1,29 @@
-//! The periodic measurement of load.
+//! Periodic measurement of the load.
 
 use super::engine::Limiter;
 use super::SECOND;
 use crate::interface::{BackendState, Micros};
 
-/// Loads are measured this often.
+/// Interval of the load measurement.
 const MEASURE_EVERY: Micros = 500_000;
-/// Memory of a warm backend's usual load.
+/// Time constant of the usual load of a warm backend, microseconds.
 const LOAD_MEMORY: f64 = 10.0 * SECOND;
-/// Weight of the newest measurement of what this limiter sends.
+/// Weight of the newest measurement of this limiter's own sends.
 const RATE_WEIGHT: f64 = 0.3;
 
-/// Counts what is sent and answered, and turns it into rates.
+/// Counts attempts and answers, and turns them into rates.
 #[derive(Default)]
 pub(super) struct LoadMeter {
     measured_at: Micros,
-    /// Since the last measurement: answers, attempts, and the microseconds that attempts took.
+    /// Counts since the last measurement: answers, attempts, and the microseconds that attempts took.
     answers: f64,
     attempts: f64,
     attempt_micros: f64,
-    /// Answers a second from each warm backend's worth of capacity.
-    pub(super) unit_load: f64,
-    /// Attempts of late, a second.
+    /// Recent answers per second for the capacity of one warm backend.
+    pub(super) load_per_backend: f64,
+    /// Recent attempts per second.
     pub(super) attempt_rate: f64,
-    /// Attempts in flight of late, on average.
+    /// Recent mean number of attempts in flight.
     pub(super) mean_in_flight: f64,
 }
 
@@ -37,7 +37,7 @@
         self.attempt_micros += expected;
     }
 
-    /// An attempt lasted longer than expected, or shorter (below zero).
+    /// Adds the time by which an attempt exceeded its expected duration; negative if it was shorter.
     pub(super) fn record_overtime(&mut self, micros: f64) {
         self.attempt_micros += micros;
     }
@@ -46,7 +46,7 @@
         self.answers += 1.0;
     }
 
-    /// The time since the last measurement, if another is due.
+    /// Returns the time since the last measurement if another one is due.
     fn due_span(&self, now: Micros) -> Option<Micros> {
         let span = now.saturating_sub(self.measured_at);
         (span >= MEASURE_EVERY).then_some(span)
@@ -54,9 +54,9 @@
 
     fn measure(&mut self, capacity: f64, span: Micros, now: Micros) {
         let span = span as f64;
-        let unit_load = self.answers / span * SECOND / capacity;
+        let load_per_backend = self.answers / span * SECOND / capacity;
         let keep = (-span / LOAD_MEMORY).exp();
-        self.unit_load = self.unit_load * keep + unit_load * (1.0 - keep);
+        self.load_per_backend = self.load_per_backend * keep + load_per_backend * (1.0 - keep);
         let weight = if self.attempt_rate > 0.0 { RATE_WEIGHT } else { 1.0 };
         self.attempt_rate += (self.attempts / span * SECOND - self.attempt_rate) * weight;
         self.mean_in_flight += (self.attempt_micros / span - self.mean_in_flight) * weight;
@@ -66,7 +66,7 @@
 }
 
 impl Limiter {
-    /// Measures, if it is due, and lets what follows the load move on.
+    /// Measures the load if a measurement is due, and updates what depends on it.
     pub(super) fn measure_load(&mut self) {
         let now = self.now;
         let Some(span) = self.load.due_span(now) else { return };
@@ -80,8 +80,8 @@
         self.forget_idle_customers();
     }
 
-    /// How many warm backends' worth of capacity serves; at least half the number of backends, so that the
-    /// load of each does not look boundless while most warm up.
+    /// Returns the capacity in service, in warm backends. It is at least half the number of backends, so that
+    /// the load per backend does not seem unbounded while most of them warm up.
     fn serving_capacity(&self) -> f64 {
         let backends = &self.backends.entries;
         let serving = backends.values().filter(|backend| backend.state == BackendState::InService);
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions of one limiter, without I/O: events go in, actions come out (`src/interface`).
+//! The decisions of one limiter, without I/O: it takes events and returns actions (both in `src/interface`).
 
 mod attempts;
 mod backends;
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -1,4 +1,4 @@
-//! Fullness and slowness of single backends, learned from the ends of attempts.
+//! Detects full and slow backends from the ends of attempts.
 
 use super::attempts::InFlightAttempt;
 use super::backends::Backend;
@@ -7,33 +7,34 @@
 use super::SECOND;
 use crate::interface::{AttemptResult, Micros, Outcome};
 
-/// A backend looks full when its mean recent latency passes this share of the latency objective: one answer
-/// in 50 is late then.
-const FULL_AT: f64 = 0.26;
-/// Weight of the newest latency.
+/// Recent mean latency from which a backend looks full, as a share of the latency objective: at this mean one
+/// answer in 50 is late.
+const FULL_PRESSURE: f64 = 0.26;
+/// Weight of the newest latency in a backend's moving averages.
 const LATENCY_WEIGHT: f64 = 0.2;
-/// The limit on attempts in flight shrinks to this part, at most once per latency.
+/// Factor on a backend's limit of attempts in flight when it looks full, applied at most once per latency.
 const LIMIT_DECREASE: f64 = 0.85;
-/// The limit grows only where this share of it is used.
+/// Share of the limit that must be in use for the limit to grow.
 const MIN_LIMIT_USED: f64 = 0.5;
-/// Failures (rejections, errors, failed connects) in a row double a backend's cooldown so many times at most.
+/// Maximum number of times that consecutive failures (rejections, errors, failed connects) double a backend's
+/// cooldown.
 pub(super) const MAX_COOLDOWN_DOUBLINGS: u32 = 4;
-/// A backend once slow is tried again as this memory fades.
+/// Time constant in microseconds with which slowness fades, so that a backend that was slow is tried again.
 const SLOWNESS_MEMORY: f64 = 8.0 * SECOND;
-/// Silence counts as slowness from so many idle latencies on.
+/// Age of the oldest unanswered attempt, in idle latencies, per unit of slowness.
 const SILENCE_PER_SLOWNESS: f64 = 3.0;
 
-/// What the ends of attempts told of a backend.
+/// Health of a backend, learned from the ends of its attempts.
 #[derive(Default)]
 pub(super) struct BackendHealth {
-    /// Recent latency as a share of the tightest class's objective, and in relation to that of all backends.
+    /// Recent latency as a share of the latency objective of the tightest class.
     pressure: f64,
     slowness: f64,
     last_latency_at: Micros,
-    /// How many attempts may be in flight.
+    /// Limit of attempts in flight.
     limit: f64,
     limit_lowered_at: Micros,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
     full_until: Micros,
 }
@@ -49,15 +50,15 @@
         self.last_latency_at = now;
     }
 
-    /// An answer ends a row of failures.
+    /// Resets the failures after an answer.
     fn clear_failures(&mut self) {
         self.failures = 0;
         self.full_until = 0;
     }
 
-    /// Lets the limit on attempts in flight follow the latency.
+    /// Adapts the limit of attempts in flight to the latency.
     fn adapt_limit(&mut self, in_flight: usize, latency: Micros, now: Micros) {
-        let looks_full = self.pressure >= FULL_AT;
+        let looks_full = self.pressure >= FULL_PRESSURE;
         let is_used = in_flight as f64 + 1.0 >= self.limit * MIN_LIMIT_USED;
         if looks_full && now >= self.limit_lowered_at + latency {
             self.lower_limit();
@@ -74,22 +75,21 @@
     fn record_failure(&mut self, is_rejection: bool, cooldown: Micros, now: Micros) {
         self.failures += 1;
         let doubled = cooldown << (self.failures - 1).min(MAX_COOLDOWN_DOUBLINGS);
-        // One error is not yet a sign; a rejection or a second one is.
+        // A single error does not make a backend full; a rejection or a second failure does.
         if is_rejection || self.failures > 1 {
             self.full_until = now + doubled / 2;
         }
         self.lower_limit();
     }
 
-    /// Whether a cooldown is on, a test after a failure is in flight, or as many attempts as the limit
-    /// allows.
+    /// Whether a cooldown is running, a trial attempt after a failure is in flight, or the limit is reached.
     fn is_full(&self, in_flight: usize, now: Micros) -> bool {
         let in_flight = in_flight as f64;
-        let is_tested = self.failures > 0 && in_flight >= 1.0;
-        now < self.full_until || is_tested || in_flight >= self.limit.max(1.0)
+        let is_on_trial = self.failures > 0 && in_flight >= 1.0;
+        now < self.full_until || is_on_trial || in_flight >= self.limit.max(1.0)
     }
 
-    /// Slowness by latencies, which fades.
+    /// Returns the slowness by answered latencies, which fades over time.
     fn remembered_slowness(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.last_latency_at) as f64;
         1.0 + (self.slowness - 1.0) * (-age / SLOWNESS_MEMORY).exp()
@@ -97,8 +97,8 @@
 }
 
 impl Limiter {
-    /// How much slower than its like a backend looks now. Silence is not health: the age of the oldest
-    /// attempt counts as latency seen.
+    /// Returns how many times slower than the others a backend looks now. A backend that does not answer is
+    /// not healthy: the age of its oldest attempt counts as a latency.
     pub(super) fn slowness(&self, backend: &Backend) -> f64 {
         let silence = backend
             .in_flight
@@ -107,12 +107,13 @@
         backend.health.remembered_slowness(self.now).max(silence / SILENCE_PER_SLOWNESS)
     }
 
-    /// The fullness gate of one backend.
+    /// Whether a backend is too full to get another attempt.
     pub(super) fn is_full(&self, backend: &Backend) -> bool {
         backend.health.is_full(backend.in_flight.len(), self.now)
     }
 
-    /// Learns from an outcome. Errors and failed connects count as failures, however fast they came.
+    /// Updates a backend's statistics from an outcome. Errors and failed connects count as failures, however
+    /// fast they occur.
     pub(super) fn record_outcome(&mut self, attempt: &InFlightAttempt, end: &AttemptResult) {
         let now = self.now;
         let Some(backend) = self.backends.entries.get_mut(&attempt.backend) else { return };
@@ -134,9 +135,9 @@
     fn record_latency(&mut self, attempt: &InFlightAttempt, end: &AttemptResult) {
         let (now, class, latency) = (self.now, attempt.class, end.latency as f64);
         let Some(backend) = self.backends.entries.get_mut(&attempt.backend) else { return };
-        // Guards against time-outs reading as health: what was given up took at least the objective. One
-        // measure for all classes, the tightest one's: by its own objective a slow one would fill all
-        // backends.
+        // A timed-out attempt must not make a backend look healthy, so its pressure is at least 1. All
+        // classes are measured by the tightest one: measured by its own objective, a slow class would fill
+        // all backends.
         let timed_out = end.outcome == Outcome::TimedOut;
         let pressure = latency / self.latencies.idle(class) / self.latencies.headroom;
         let pressure = pressure.max(f64::from(u8::from(timed_out)));
--- a/src/decision/pacing.rs
+++ b/src/decision/pacing.rs
@@ -1,4 +1,4 @@
-//! The fullness of all backends together, and the pacing that it allows where limiters are many.
+//! The fullness of all backends together, and the pacing that follows from it in many-limiters mode.
 
 use super::engine::Limiter;
 use super::release_gate::TIER_RESERVE;
@@ -6,21 +6,23 @@
 use super::SECOND;
 use crate::interface::Micros;
 
-/// All backends together look full at this share of the latency objective: higher than for a single one, as
-/// no other is left to choose then.
-const FULL_AT: f64 = 0.4;
-/// Weight of the newest latency in that mean: a dozen answers tell load from chance.
+/// Pressure from which all backends together look full, as a share of the latency objective. It is higher
+/// than for a single backend, as no other one is left to choose.
+const FULL_PRESSURE: f64 = 0.4;
+/// Weight of the newest latency in the pressure: it takes a dozen answers to tell load from chance.
 const PRESSURE_WEIGHT: f64 = 0.08;
-/// What was seen fades within this: few answers come while little is sent.
+/// Time constant in microseconds with which old latencies fade: few answers arrive while little is sent.
 const PRESSURE_MEMORY: f64 = 3.0 * SECOND;
 
-/// However full all look, so many attempts may be in flight per backend: not all slowness comes from load.
-/// Pacing starts here.
+/// Minimum of attempts in flight per backend, over all limiters, however full the backends look, as not all
+/// slowness comes from load. Pacing starts at this value.
 const MIN_IN_FLIGHT: f64 = 2.0;
-/// The rate is cut to this part of what is in flight, once in two cooldowns, while all look full ...
+/// Factor on the mean number of attempts in flight to which the rate is cut, at most once in two cooldowns,
+/// while the backends look full.
 const RATE_DECREASE: f64 = 0.7;
-/// ... and rises by this part a second while they do not and this share of it is used: what nobody needs must
-/// not rise to where it holds nothing back when the backends become fewer.
+/// Increase of the rate per second, as a share, while the backends do not look full and at least `MIN_USED`
+/// of the rate is used. An unused rate must not rise so far that it no longer limits when backends become
+/// fewer.
 const RATE_INCREASE: f64 = 0.5;
 const MIN_USED: f64 = 0.5;
 
@@ -34,24 +36,24 @@
 
 impl FleetFullness {
     pub(super) fn record(&mut self, pressure: f64, attempt_rate: f64, now: Micros) {
-        let quiet = now.saturating_sub(self.last_attempt_at) as f64 / PRESSURE_MEMORY;
-        let weight = PRESSURE_WEIGHT.min(1.0 / attempt_rate.max(1.0)).max(1.0 - (-quiet).exp());
+        let elapsed = now.saturating_sub(self.last_attempt_at) as f64 / PRESSURE_MEMORY;
+        let weight = PRESSURE_WEIGHT.min(1.0 / attempt_rate.max(1.0)).max(1.0 - (-elapsed).exp());
         self.last_attempt_at = now;
         self.pressure += weight * (pressure.min(1.0) - self.pressure);
     }
 
     pub(super) fn is_full(&self) -> bool {
-        self.pressure >= FULL_AT
+        self.pressure >= FULL_PRESSURE
     }
 }
 
-/// How many attempts may be in flight on average, parts of one included: a bucket of attempt-seconds.
+/// Limits the mean number of attempts in flight, fractions included, by a token bucket of attempt-seconds.
 ///
-/// Guards against hundreds of limiters that each see too little of any backend to find it full. Each attempt
-/// takes what it is expected to last, and more as it lasts longer. So sends fall the moment answers stay
-/// away, for whatever reason (backends lost or slow, heavier requests, a jam), before any late answer has
-/// told so; how many follows the latency of all backends together. Could harm where many requests are
-/// swallowed: what they hold is missing elsewhere.
+/// Protects against hundreds of limiters that each see too little of any backend to find it full. An attempt
+/// takes its expected duration from the bucket, and more as it lasts longer. So fewer attempts are sent as
+/// soon as answers are missing for whatever reason (backends lost or slow, heavier requests, congestion),
+/// before any late answer has shown it. The rate follows the latency of all backends together. Drawback:
+/// where many attempts get no answer, the seconds that they take are missing for others.
 #[derive(Default)]
 pub(super) struct Pacing {
     bucket: TokenBucket,
@@ -59,7 +61,7 @@
 }
 
 impl Pacing {
-    /// Takes what an attempt lasts, or is expected to.
+    /// Takes the expected duration of an attempt, or the time by which it exceeded that.
     pub(super) fn take(&mut self, micros: f64) {
         self.bucket.level -= micros / SECOND;
     }
@@ -76,8 +78,8 @@
         self.lowered_at = now;
     }
 
-    /// The attempt-seconds there, with room for `burst` microseconds above the `overtime` of what is in
-    /// flight.
+    /// Returns the available attempt-seconds. The bucket holds at least `burst` microseconds above the
+    /// `overtime` of the attempts in flight.
     fn allowance(&mut self, burst: f64, overtime: f64, cooldown: Micros, now: Micros) -> f64 {
         let bucket = &mut self.bucket;
         bucket.capacity = (bucket.rate * cooldown as f64).max(burst) / SECOND + overtime;
@@ -88,7 +90,7 @@
 }
 
 impl Limiter {
-    /// The attempt-seconds that may be sent now; no limit where limiters are few.
+    /// Returns the attempt-seconds that may be sent now; unlimited in few-limiters mode.
     pub(super) fn pacing_allowance(&mut self) -> f64 {
         if !self.many_limiters {
             return f64::MAX;
--- a/src/decision/queues.rs
+++ b/src/decision/queues.rs
@@ -7,18 +7,18 @@
 use super::timers::TimerKind;
 use crate::interface::{Action, CustomerId, Micros, Request, RequestId};
 
-/// A queued request is rejected once this share of its latency objective has passed, or when less is left
-/// than this many recent latencies: one answer in ten takes longer.
+/// A queued request is rejected once this share of its latency objective has passed, or when less time is
+/// left than this multiple of the recent latency, which one answer in ten exceeds.
 const MAX_QUEUED_SHARE: f64 = 0.6;
 const ANSWER_MARGIN: f64 = 2.3;
-/// Final answers go out this many ticks before the client gives up.
+/// Number of ticks before the client's timeout at which the final answer is sent.
 const ANSWER_TICKS: u64 = 2;
 
 /// A customer's queue in one tier.
 #[derive(Default)]
 pub(super) struct TierQueue {
     pub(super) requests: VecDeque<RequestId>,
-    /// Whether the customer stands in the tier's rotation.
+    /// Whether the customer is in the tier's rotation.
     pub(super) in_rotation: bool,
 }
 
@@ -33,12 +33,12 @@
         Rotations { tiers: vec![VecDeque::new(); tiers] }
     }
 
-    /// How many tiers there are.
+    /// Returns the number of tiers.
     pub(super) fn tiers(&self) -> usize {
         self.tiers.len()
     }
 
-    /// How many customers stand in a tier's rotation.
+    /// Returns the number of customers in a tier's rotation.
     pub(super) fn len(&self, tier: usize) -> usize {
         self.tiers[tier].len()
     }
@@ -53,14 +53,14 @@
 }
 
 impl Limiter {
-    /// A request arrived: it is queued, or rejected at once.
+    /// Handles a new request: queues it, or rejects it at once.
     pub(super) fn on_request(&mut self, request: &Request) {
         let id = request.id;
         if !self.is_acceptable(request) {
             return self.actions.push(Action::Reject { request: id, retry_after: 0 });
         }
         self.update_customer(request);
-        // Guards the one answer in time: due some ticks before the client gives up.
+        // The final answer is due some ticks before the client's timeout.
         let deadline = self.now + request.timeout.saturating_sub(ANSWER_TICKS * self.settings.tick);
         let queue_timeout = self.queue_timeout(request.class, deadline);
         let (class, customer, units) = (request.class, request.customer, request.units);
@@ -73,7 +73,7 @@
             ..PendingRequest::default()
         };
         self.requests.insert(id, pending);
-        if self.question_at(id).is_none() && !self.take_quota(id) {
+        if self.precheck_at(id).is_none() && !self.take_quota(id) {
             return;
         }
         self.timers.schedule(deadline, TimerKind::RequestDeadline(id));
@@ -90,7 +90,7 @@
         is_known && has_units && !self.requests.contains_key(&request.id)
     }
 
-    /// Until when a request that arrives now may be queued.
+    /// Returns the time until which a request that arrives now may be queued.
     fn queue_timeout(&self, class: usize, deadline: Micros) -> Micros {
         let objective = self.settings.classes[class].latency_objective as f64;
         let needed =
@@ -99,7 +99,7 @@
         (self.now + queued.max(self.settings.tick)).min(deadline)
     }
 
-    /// Lets a customer stand in the rotation of each tier in which it has requests queued.
+    /// Adds a customer to the rotation of each tier in which it has queued requests.
     pub(super) fn join_rotation(&mut self, customer: CustomerId) {
         let Some(c) = self.customers.get_mut(&customer) else { return };
         for (tier, queue) in c.queues.iter_mut().enumerate() {
--- a/src/decision/rejections.rs
+++ b/src/decision/rejections.rs
@@ -1,4 +1,4 @@
-//! Ends requests without an answer from a backend.
+//! Ends requests that no backend has answered.
 
 use super::engine::Limiter;
 use super::requests::PendingRequest;
@@ -6,7 +6,8 @@
 use crate::interface::{Action, Micros, RequestId};
 
 impl Limiter {
-    /// Ends a request unserved: rejected where that is true to what its attempts may have done, else failed.
+    /// Ends a request without an answer from a backend: with a rejection if the client may safely retry,
+    /// otherwise with a failure, as an attempt may have run.
     pub(super) fn reject(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let may_have_run = request.first_run.is_some() || request.in_flight > 0;
@@ -20,12 +21,13 @@
         self.remove_request(id);
     }
 
-    /// When a rejected request may come again: once what its customer lacks is refilled or what is queued
-    /// here has left at the rate of late, and the cooldown of what struck its attempt may be over.
+    /// Returns when a rejected request may be retried: once its customer's quota or ceiling is refilled, or
+    /// otherwise once the queue has drained at the recent rate, and not before the cooldown of a failed
+    /// attempt.
     fn retry_after(&self, request: &PendingRequest) -> Micros {
         let Some(c) = self.customers.get(&request.customer) else { return 0 };
         let refill = |level: f64, rate: f64| if rate > 0.0 { (request.units - level) / rate } else { 0.0 };
-        let quota = if request.reported_ahead {
+        let quota = if request.is_prechecked {
             refill(c.slice.shared_level, self.quota(c.plan).rate)
         } else if !request.has_quota {
             refill(c.slice.bucket.level, c.slice.bucket.rate)
@@ -40,18 +42,18 @@
         (wait as Micros).max(cooldown).min(self.settings.max_retry_after)
     }
 
-    /// Forgets a request, and returns what it reserved.
+    /// Removes a request and returns what it reserved.
     pub(super) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         if let (0, Some(c)) = (request.in_flight, self.customers.get_mut(&request.customer)) {
             c.queues[self.tier_of[request.class]].requests.retain(|queued| *queued != id);
-            let holds_quota = request.attempts == 0 && request.has_quota && !request.reported_ahead;
+            let holds_quota = request.attempts == 0 && request.has_quota && !request.is_prechecked;
             if holds_quota && c.slice.is_limited() {
                 c.slice.cancel_reservation(request.units);
             }
             self.return_spare_permits(request.customer);
         }
-        if request.reported_ahead && request.attempts == 0 {
+        if request.is_prechecked && request.attempts == 0 {
             self.record_usage(request.customer, -request.units);
         }
     }
--- a/src/decision/release_gate.rs
+++ b/src/decision/release_gate.rs
@@ -1,4 +1,4 @@
-//! The release gate: queued requests leave by tier and in rotation of customers, while the backends do not
+//! The release gate: releases queued requests by tier and in rotation of customers, while the backends do not
 //! look full.
 
 use super::engine::Limiter;
@@ -6,33 +6,33 @@
 use super::SECOND;
 use crate::interface::{CustomerId, Micros, RequestId};
 
-/// Each tier of lower priority weight leaves so many attempts of the pacing to the higher ones.
+/// Pacing allowance, in attempts, that a tier leaves for each tier of higher priority weight.
 pub(super) const TIER_RESERVE: f64 = 0.5;
-/// So many customers in a row without a backend end a tier's turn.
+/// Number of consecutive customers without a backend that ends a tier's turn.
 const MAX_BLOCKED: usize = 3;
-/// While requests are queued the gate is tried again after so many ticks.
+/// Ticks between two releases while requests are queued.
 const RELEASE_TICKS: u64 = 4;
-/// A tick counts as at least this long here.
+/// Minimum length of a tick here.
 const MIN_TICK: Micros = 1000;
 
-/// What became of a customer's turn.
+/// Result of a customer's turn.
 enum Turn {
-    /// It has nothing that could leave now, and is out of the rotation.
+    /// The customer has nothing to send now and has left the rotation.
     LeftRotation,
-    /// No backend takes its request.
+    /// No backend can take the customer's request, or pacing holds it back.
     Blocked,
-    /// Its request was sent.
+    /// The customer's request was sent.
     Sent,
 }
 
 impl Limiter {
-    /// Releases queued requests: higher tiers first, customers in rotation, while the gate is open.
+    /// Releases queued requests while the gate is open: higher tiers first, customers in rotation.
     pub(super) fn release(&mut self) {
         let lowest = self.rotations.tiers() - 1;
         let mut any_blocked = false;
         let mut allowance = self.pacing_allowance();
         for tier in 0..=lowest {
-            // The lowest tier goes only when nothing above it is queued.
+            // The lowest tier is served only if no higher tier is blocked.
             if tier > 0 && tier == lowest && any_blocked {
                 break;
             }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Releases what can leave of a tier; returns whether any of it could not.
+    /// Releases the requests of a tier that can be sent; returns whether any was blocked.
     fn release_tier(&mut self, tier: usize, allowance: &mut f64) -> bool {
         let mut any_blocked = false;
         let mut blocked = 0;
@@ -63,8 +63,8 @@
         any_blocked
     }
 
-    /// Sends a customer's next request of a tier, if the ceiling, the pacing, the backends, the quota and the
-    /// concurrency limit let it, asked in this order.
+    /// Sends a customer's next request of a tier if the ceiling, the pacing, the backends, the quota and the
+    /// concurrency limit allow it, checked in this order.
     fn take_turn(&mut self, customer: CustomerId, tier: usize, allowance: &mut f64) -> Turn {
         let Some(c) = self.customers.get_mut(&customer) else { return Turn::LeftRotation };
         let Some(&id) = c.queues[tier].requests.front() else {
@@ -74,10 +74,10 @@
         c.ceiling.refill(self.now);
         let request = &self.requests[&id];
         let over_ceiling = c.ceiling.rate > 0.0 && request.attempts == 0 && c.ceiling.level < request.units;
-        let is_paced = *allowance < TIER_RESERVE * tier as f64 * self.latencies.mean / SECOND;
-        let backend = if over_ceiling || is_paced { None } else { self.select_backend(id) };
+        let exceeds_pacing = *allowance < TIER_RESERVE * tier as f64 * self.latencies.mean / SECOND;
+        let backend = if over_ceiling || exceeds_pacing { None } else { self.select_backend(id) };
         let has_backend = backend.is_some();
-        if over_ceiling || (has_backend && !(self.has_quota(id) && self.acquire_permit(customer))) {
+        if over_ceiling || (has_backend && !(self.acquire_quota(id) && self.acquire_permit(customer))) {
             self.leave_rotation(customer, tier, id, over_ceiling);
             return Turn::LeftRotation;
         }
@@ -86,8 +86,8 @@
         Turn::Sent
     }
 
-    /// Takes a customer out of a tier's rotation until the counter answers or one of its attempts ends. It
-    /// stays in where only this request was rejected and others of it are queued.
+    /// Takes a customer out of a tier's rotation until the counter answers or one of its attempts ends. The
+    /// customer rejoins at once if only this request was rejected and others are queued.
     fn leave_rotation(&mut self, customer: CustomerId, tier: usize, id: RequestId, over_ceiling: bool) {
         if let Some(c) = self.customers.get_mut(&customer) {
             c.queues[tier].in_rotation = false;
--- a/src/decision/requests.rs
+++ b/src/decision/requests.rs
@@ -3,7 +3,8 @@
 use super::backends::Backend;
 use crate::interface::{BackendId, CustomerId, Idempotency, KeyScope, Micros};
 
-/// The first attempt of a request that may have run, by which retries of a keyed request go.
+/// The first attempt of a request that may have run; it determines where and until when a request with an
+/// idempotency key may be retried.
 pub(super) struct FirstRun {
     pub(super) started_at: Micros,
     pub(super) zone: String,
@@ -17,24 +18,27 @@
     pub(super) customer: CustomerId,
     pub(super) units: f64,
     pub(super) arrived_at: Micros,
-    /// When its one answer is due.
+    /// Time by which the final answer is due.
     pub(super) deadline: Micros,
-    /// Attempts begun.
+    /// Number of attempts started.
     pub(super) attempts: u32,
-    /// Its units are taken from its customer's quota slice, or reported to the counter with a question.
+    /// Whether the units are taken from the customer's quota slice, or reported to the counter with a
+    /// precheck.
     pub(super) has_quota: bool,
-    /// Its units were reported to the counter before it was sent.
-    pub(super) reported_ahead: bool,
-    /// Attempts in flight, and whether an answer of one has begun to flow.
+    /// Whether the units were reported to the counter before the request was sent; see
+    /// `Limiter::precheck_at`.
+    pub(super) is_prechecked: bool,
+    /// Number of attempts in flight.
     pub(super) in_flight: u32,
+    /// Whether an attempt streams its answer.
     pub(super) is_streaming: bool,
     pub(super) first_run: Option<FirstRun>,
     pub(super) tried: Vec<BackendId>,
 }
 
 impl PendingRequest {
-    /// How long a retry may still be sent, where the idempotency window of the first attempt that may have
-    /// run bounds it.
+    /// Returns how long a retry may still be sent, if the idempotency window of the first attempt that may
+    /// have run limits it.
     pub(super) fn retry_window_left(&self, idempotency: Idempotency, now: Micros) -> Option<Micros> {
         match (&self.first_run, idempotency) {
             (Some(first), Idempotency::IdempotencyKey { window, .. }) => {
@@ -44,7 +48,8 @@
         }
     }
 
-    /// Guards keyed requests: an attempt may go only where, and while, a repeat is dropped.
+    /// Whether an attempt may be sent to a backend: after a first run under an idempotency key, only to
+    /// backends that drop repeats of it, and only while they do.
     pub(super) fn may_run_on(&self, backend: &Backend, idempotency: Idempotency, now: Micros) -> bool {
         let (Some(first), Idempotency::IdempotencyKey { scope, window }) = (&self.first_run, idempotency)
         else {
--- a/src/decision/retries.rs
+++ b/src/decision/retries.rs
@@ -1,11 +1,11 @@
-//! The retry budget: retries are a share of all attempts, so that they can't feed an overload.
+//! The retry budget: limits retries to a share of all attempts, so that they cannot amplify an overload.
 
-/// Retries that the backend did not prove unseen may be this share of all attempts.
+/// Retries earned per attempt. Retries of attempts that surely have not run are not counted.
 const RETRY_SHARE: f64 = 0.1;
-/// So many retries may be saved up.
+/// Maximum number of retries that can be saved up.
 const MAX_SAVED: f64 = 10.0;
-/// This part of them is there at the start.
-const INITIAL_PART: f64 = 5.0;
+/// Divisor of `MAX_SAVED` that gives the budget at the start.
+const INITIAL_DIVISOR: f64 = 5.0;
 
 /// Retries that may still be sent.
 #[derive(Default)]
@@ -15,7 +15,7 @@
 
 impl RetryBudget {
     pub(super) fn new() -> RetryBudget {
-        RetryBudget { available: MAX_SAVED / INITIAL_PART }
+        RetryBudget { available: MAX_SAVED / INITIAL_DIVISOR }
     }
 
     /// Earns a share of a retry with each attempt.
--- a/src/decision/settings_check.rs
+++ b/src/decision/settings_check.rs
@@ -1,8 +1,8 @@
-//! The check of the settings that a limiter starts with, or that a version brings.
+//! Validates the settings that a limiter starts with and those of a new version.
 
 use crate::interface::{Class, Plan, Settings, SettingsError};
 
-/// Rejects settings that cannot be meant.
+/// Returns an error if the settings are unusable.
 pub(super) fn check(settings: &Settings) -> Result<(), SettingsError> {
     if settings.classes.is_empty() {
         return Err(SettingsError::NoClasses);
@@ -19,7 +19,7 @@
     let slow_start = &settings.slow_start;
     let others = [slow_start.initial_share, slow_start.overload_multiple, settings.max_units];
     if others.into_iter().any(is_unusable) {
-        return Err(SettingsError::InvalidNumber("a cold start's figure"));
+        return Err(SettingsError::InvalidNumber("a slow-start value or max_units"));
     }
     Ok(())
 }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,16 +1,17 @@
-//! How much a backend that has just started may get.
+//! Slow start: limits what a recently started backend gets.
 
 use super::backends::Backend;
 use super::engine::Limiter;
 use super::random::mix_bits;
 use super::SECOND;
 
-/// Part of the budget that is used: the rest is for chance and for limiters that know more of the traffic.
+/// Part of the overload limit that is used; the rest is a margin for chance and for limiters that see more of
+/// the traffic.
 const BUDGET_USED: f64 = 0.5;
-/// Where limiters are many, a backend that warms up gets at most this part of the load that warm ones have
-/// for their capacity.
+/// Maximum load of a backend that is warming up in many-limiters mode, relative to the load of warm backends
+/// of the same capacity.
 const MAX_LOAD_MANY_LIMITERS: f64 = 1.0;
-/// Least share of its capacity that any backend is taken to have.
+/// Minimum share of its capacity that a backend is assumed to have.
 const MIN_SHARE: f64 = 0.01;
 
 /// Attempts that a backend got in the latest overload window.
@@ -36,12 +37,12 @@
 }
 
 impl Limiter {
-    /// The number of this limiter's present overload window.
+    /// Returns the number of this limiter's current overload window.
     pub(super) fn overload_window(&self) -> u64 {
         (self.now + self.random.phase) / self.settings.slow_start.overload_window.max(1)
     }
 
-    /// Share of its capacity that a backend surely has.
+    /// Returns the share of its capacity that a backend has at least.
     pub(super) fn capacity_share(&self, backend: &Backend) -> f64 {
         if backend.started_at == 0 {
             return 1.0;
@@ -51,16 +52,20 @@
         (slow_start.initial_share + (1.0 - slow_start.initial_share) * age).clamp(MIN_SHARE, 1.0)
     }
 
-    /// Whether a backend that warms up may get one more attempt.
+    /// Whether a backend that is warming up may get one more attempt.
     ///
-    /// Guards it: what this limiter sends within the overload window stays under its part of the overload
-    /// multiple. What a warm backend answers it bounds its part of the capacity from below, so the parts add
-    /// up to less. A part under one is a chance, drawn anew each window: hundreds must not send one each.
+    /// Prevents overload: within one overload window this limiter sends no more than its part of the overload
+    /// limit. Its part of the capacity is estimated from the rate at which warm backends answer this limiter.
+    /// That is a lower bound, so the parts of all limiters add up to less than the limit. A budget below one
+    /// attempt is a probability, drawn anew in each window, as hundreds of limiters must not send one attempt
+    /// each.
     pub(super) fn has_slow_start_budget(&self, backend: &Backend, share: f64) -> bool {
         let slow_start = &self.settings.slow_start;
-        let most = BUDGET_USED * slow_start.overload_multiple;
-        let times = if self.many_limiters { most.min(MAX_LOAD_MANY_LIMITERS) } else { most };
-        let budget = times * share * self.load.unit_load * slow_start.overload_window as f64 / SECOND;
+        let max_multiple = BUDGET_USED * slow_start.overload_multiple;
+        let multiple =
+            if self.many_limiters { max_multiple.min(MAX_LOAD_MANY_LIMITERS) } else { max_multiple };
+        let budget =
+            multiple * share * self.load.load_per_backend * slow_start.overload_window as f64 / SECOND;
         let window = self.overload_window();
         let draw = self.random.draw_fraction(mix_bits(backend.hash ^ window));
         let granted = budget.floor() + f64::from(u8::from(draw < budget.fract()));
--- a/src/decision/versions.rs
+++ b/src/decision/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of the classes and plans, adopted and retired in service.
+//! Versions of the classes and plans, adopted and retired while the limiter runs.
 
 use std::collections::BTreeSet;
 
@@ -6,32 +6,33 @@
 use super::settings_check::check;
 use crate::interface::{Class, Micros, Plan, Settings, SettingsError, VersionIndices};
 
-/// How many classes and plans the settings brought: the first ones, which stay.
+/// Number of classes and plans in the initial settings. They come first and are never removed.
 #[derive(Clone, Copy)]
 struct ConfiguredCounts {
     classes: usize,
     plans: usize,
 }
 
-/// Which classes and plans are the settings' own, and which of the others are free for the next version.
+/// Tracks which classes and plans belong to the initial settings, and which other indices are free for the
+/// next version.
 #[derive(Default)]
 pub(super) struct VersionSlots {
-    /// Unknown until a version is adopted: all are the settings' own then.
+    /// `None` until a version is adopted: all classes and plans then belong to the initial settings.
     configured: Option<ConfiguredCounts>,
-    /// Indices behind these that no version, request or customer refers to.
+    /// Indices after the configured ones that no version, request or customer refers to.
     spare_classes: BTreeSet<usize>,
     spare_plans: BTreeSet<usize>,
 }
 
-/// Puts a value at an index, which is there or the next one.
-fn put<T>(all: &mut Vec<T>, index: usize, value: T) {
+/// Stores a value at an existing index, or appends it if `index` is the next one.
+fn set_or_push<T>(all: &mut Vec<T>, index: usize, value: T) {
     match all.get_mut(index) {
         Some(old) => *old = value,
         None => all.push(value),
     }
 }
 
-/// The indices from `configured` to `total` that no version in `held` refers to.
+/// Returns the indices from `configured` to `total` that are not in `held`.
 fn unheld(configured: usize, total: usize, held: impl Iterator<Item = usize>) -> BTreeSet<usize> {
     let mut unheld: BTreeSet<usize> = (configured..total).collect();
     for index in held {
@@ -40,24 +41,25 @@
     unheld
 }
 
-/// Whether the last of `total` entries is among the spare ones.
+/// Whether the last of `total` entries is spare.
 fn is_last_spare(spare: &BTreeSet<usize>, total: usize) -> bool {
     spare.last().is_some_and(|last| last + 1 == total)
 }
 
 impl Limiter {
-    /// Adopts a version of the classes and plans, and returns their indices for the requests that arrive
-    /// under it from now on. Earlier requests keep theirs, and so are retried, timed and rejected as they
-    /// were begun.
+    /// Adopts a version of the classes and plans, and returns their indices for the requests that arrive from
+    /// now on. Earlier requests keep their indices, so they are retried, timed out and rejected by the
+    /// version under which they arrived.
     ///
-    /// What a version leaves unchanged keeps its index, also where it is unchanged from an earlier version; a
-    /// customer of an unchanged plan notices nothing. A customer whose plan changed moves at its next
-    /// request: its bucket gets the new plan's even share and capacity until the counter tells more, and no
-    /// units that it did not have.
+    /// A class or plan that equals an existing one keeps that index, also if it comes from an earlier
+    /// version. Nothing changes for the customers of an unchanged plan. A customer whose plan changed moves
+    /// to the new one at its next request: its bucket gets the even share and capacity of the new plan until
+    /// the counter has been read, and gains no units.
     ///
     /// # Errors
-    /// If a number is unusable, a name was not there from the start, or a class's priority weight, which sets
-    /// its tier, changes. Nothing is adopted then.
+    ///
+    /// Returns an error and adopts nothing if a number is unusable, a name is not in the initial settings, or
+    /// the priority weight of a class, which determines its tier, differs.
     pub fn adopt_version(
         &mut self,
         classes: &[Class],
@@ -81,7 +83,7 @@
         Ok(indices)
     }
 
-    /// Whether a version can be adopted: all numbers are usable, and all names known with their weights.
+    /// Returns an error unless all numbers are usable and all names are known with their priority weights.
     fn check_version(&self, classes: &[Class], plans: &[Plan]) -> Result<(), SettingsError> {
         check(&Settings {
             classes: classes.to_vec(),
@@ -106,8 +108,8 @@
         Ok(())
     }
 
-    /// The index of a class that is there unchanged, else of a new entry, which goes on with the tier and
-    /// latencies of the newest class of that name.
+    /// Returns the index of an unchanged class, or of a new entry, which takes over the tier and latencies of
+    /// the newest class of the same name.
     fn adopt_class(&mut self, class: &Class) -> usize {
         let known = &self.settings.classes;
         if let Some(same) = known.iter().position(|known| known == class) {
@@ -116,25 +118,25 @@
         let newest = known.iter().rposition(|known| known.name == class.name).unwrap_or(0);
         let (tier, latency) = (self.tier_of[newest], self.latencies.classes[newest]);
         let index = self.versions.spare_classes.pop_first().unwrap_or(known.len());
-        put(&mut self.settings.classes, index, class.clone());
-        put(&mut self.tier_of, index, tier);
-        put(&mut self.latencies.classes, index, latency);
+        set_or_push(&mut self.settings.classes, index, class.clone());
+        set_or_push(&mut self.tier_of, index, tier);
+        set_or_push(&mut self.latencies.classes, index, latency);
         index
     }
 
-    /// The index of a plan that is there unchanged, else of a new entry.
+    /// Returns the index of an unchanged plan, or of a new entry.
     fn adopt_plan(&mut self, plan: &Plan) -> usize {
         let known = &self.settings.plans;
         if let Some(same) = known.iter().position(|known| known == plan) {
             return same;
         }
         let index = self.versions.spare_plans.pop_first().unwrap_or(known.len());
-        put(&mut self.settings.plans, index, plan.clone());
+        set_or_push(&mut self.settings.plans, index, plan.clone());
         index
     }
 
-    /// Forgets what versions other than those `held` brought, as far as no request and no customer refers to
-    /// it any more; returns whether all of it could be forgotten.
+    /// Frees the classes and plans of all versions except those in `held`, unless a request, attempt or
+    /// customer still refers to them. Returns whether all of them could be freed.
     pub fn retire_versions(&mut self, held: &[&VersionIndices]) -> bool {
         let Some(configured) = self.versions.configured else { return true };
         let held_classes = held.iter().flat_map(|version| version.classes.iter().copied());
@@ -160,8 +162,9 @@
         all_unused
     }
 
-    /// Removes spare entries at the end; those before entries in use wait for the next version. A class that
-    /// nothing refers to has no say in how slow a backend may be.
+    /// Removes the spare entries at the end; those before entries in use are kept for the next version. A
+    /// spare class must not influence which latency counts as slow, so its latency objective is set to the
+    /// maximum.
     fn remove_trailing_spares(&mut self) {
         let (settings, versions) = (&mut self.settings, &mut self.versions);
         while is_last_spare(&versions.spare_classes, settings.classes.len()) {
@@ -179,7 +182,7 @@
         }
     }
 
-    /// How many classes and plans there are now, those of the settings among them.
+    /// Returns the current number of classes and plans, those of the initial settings included.
     pub fn class_and_plan_counts(&self) -> (usize, usize) {
         (self.settings.classes.len(), self.settings.plans.len())
     }
--- a/src/interface/error.rs
+++ b/src/interface/error.rs
@@ -1,31 +1,31 @@
-//! Errors in settings.
+//! Errors in settings and versions.
 
 use std::error::Error;
 use std::fmt;
 
-/// Why settings or a version were rejected.
+/// Reason why settings or a version were rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// The settings have no request class, so that no request could be taken.
+    /// The settings define no request class, so no request could be accepted.
     NoClasses,
-    /// The settings have no plan, so that no customer could have a quota.
+    /// The settings define no plan, so no customer could have a quota.
     NoPlans,
-    /// A number is not finite or below zero; the text names it.
+    /// A number is negative or not finite; the text names it.
     InvalidNumber(&'static str),
-    /// A version names a class or plan that was not there from the start, or gives a class another priority
-    /// weight.
+    /// A version contains a class or plan that is not in the initial settings, or changes the priority weight
+    /// of a class.
     Incompatible(String),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingsError::NoClasses => f.write_str("settings name no request class"),
-            SettingsError::NoPlans => f.write_str("settings name no plan"),
+            SettingsError::NoClasses => f.write_str("settings define no request class"),
+            SettingsError::NoPlans => f.write_str("settings define no plan"),
             SettingsError::Incompatible(name) => {
-                write!(f, "a version can't bring in {name}, nor give it another worth")
+                write!(f, "a version cannot add {name} or change its priority weight")
             }
-            SettingsError::InvalidNumber(what) => write!(f, "settings: {what} is not a usable figure"),
+            SettingsError::InvalidNumber(what) => write!(f, "settings: {what} is negative or not finite"),
         }
     }
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What happened: the events that a limiter is fed.
+//! The events that a limiter handles.
 
 use std::sync::Arc;
 
@@ -7,109 +7,108 @@
 /// State of a backend in service discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// It serves.
+    /// The backend accepts requests.
     #[default]
     InService,
-    /// It ends what it has and takes nothing new.
+    /// The backend finishes its requests and accepts no new ones.
     Draining,
-    /// It is not there any more.
+    /// The backend no longer exists.
     Gone,
 }
 
 /// A backend's record in service discovery.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The backend that the record describes.
+    /// Name of the backend.
     pub backend: BackendId,
-    /// Whether it takes requests.
+    /// State of the backend, which determines whether it gets requests.
     pub state: BackendState,
-    /// The zone that it runs in: backends of the limiter's own zone are preferred, and idempotency keys may
-    /// be scoped to a zone ([`KeyScope::Zone`](super::KeyScope::Zone)).
+    /// The zone that the backend runs in. Backends of the limiter's own zone are preferred, and idempotency
+    /// keys may be scoped to a zone ([`KeyScope::Zone`](super::KeyScope::Zone)).
     pub zone: String,
-    /// The cell that it belongs to, for idempotency keys scoped to a cell
+    /// The cell that the backend belongs to, for idempotency keys scoped to a cell
     /// ([`KeyScope::Cell`](super::KeyScope::Cell)).
     pub cell: u32,
-    /// When its process last started; 0 for long ago.
+    /// Time at which the backend's process last started; 0 if long ago.
     pub started_at: Micros,
-    /// Size in relation to the others.
+    /// Size of the backend relative to the others.
     pub weight: f64,
 }
 
-/// What became of an attempt, health check or counter call.
+/// Outcome of an attempt, health check or counter call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It ended as it should: an answer without an error.
+    /// Success: an answer without an error.
     Ok,
-    /// An error answer; it may have run.
+    /// An error answer; the request may have run.
     Error,
-    /// Rejected unseen.
+    /// Rejected before the request ran.
     Rejected,
-    /// Given up; it may have run.
+    /// Timed out; the request may have run.
     TimedOut,
-    /// No connection was made, so it did not run.
+    /// No connection was established, so the request did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Called off by this limiter.
+    /// Canceled by this limiter.
     Canceled,
-    /// Never sent: the request was over.
+    /// Never sent, as the request had already ended.
     NotSent,
 }
 
-/// A backend's load report; absent values are `None`.
+/// A backend's load report; values that it lacks are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that wait at the backend.
+    /// Number of requests queued at the backend.
     pub queue: Option<f64>,
-    /// Requests that the backend is working on.
+    /// Number of requests that the backend is processing.
     pub in_flight: Option<f64>,
-    /// Share of the backend's capacity that is in use; 1 means all of it.
+    /// Share of the backend's capacity in use; 1 means all of it.
     pub utilization: Option<f64>,
-    /// How long the backend takes for a request, as it measures it.
+    /// Latency of a request as measured by the backend.
     pub latency: Option<Micros>,
 }
 
-/// What happened at a limiter.
+/// An event at a limiter.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An endpoint list came from service discovery.
+    /// Service discovery sent an endpoint list.
     EndpointsChanged {
-        /// Number of the list, which grows with each change; a list with a lower number than the newest is
-        /// ignored.
+        /// Version of the list, which grows with each change; a list older than the newest one is ignored.
         version: u64,
-        /// Whether the list names all endpoints, so that a backend missing from it is gone; otherwise it has
-        /// only those that changed.
+        /// Whether the list contains all endpoints, so that a backend missing from it is gone; otherwise it
+        /// contains only the endpoints that changed.
         complete: bool,
-        /// The endpoints listed.
+        /// The listed endpoints.
         endpoints: Arc<[Endpoint]>,
     },
-    /// A discovery call failed or a subscription broke; the old list stands.
+    /// A discovery call failed or a subscription broke; the last list remains valid.
     DiscoveryFailed,
-    /// A request came in from a client.
+    /// A client sent a request.
     Request(Request),
-    /// An operator cordoned a backend or let it back in. A cordoned backend gets nothing new from then on,
-    /// whatever service discovery says. Cordons are not counted: a backend cordoned twice is let back in by
-    /// one event.
+    /// An operator cordoned or uncordoned a backend. A cordoned backend gets nothing new from then on,
+    /// whatever service discovery says. Cordons are not counted: one event uncordons a backend that was
+    /// cordoned twice.
     Cordon {
-        /// The backend that the operator named.
+        /// The backend to cordon or uncordon.
         backend: BackendId,
-        /// True to cordon it, false to let it back in.
+        /// True to cordon the backend, false to uncordon it.
         cordoned: bool,
     },
-    /// A stream started to flow; the request is bound to the attempt.
+    /// An attempt started to stream its answer; the request is bound to this attempt.
     StreamStarted {
-        /// The request whose answer streams.
+        /// The request that is answered.
         request: RequestId,
         /// Number of the attempt that answers, from 0.
         attempt: u32,
         /// Time from the start of the attempt to the start of its answer.
         latency: Micros,
     },
-    /// An attempt ended, whether with an answer or without.
+    /// An attempt ended, with or without an answer.
     AttemptEnded(AttemptResult),
-    /// Nobody waits for this request any more.
+    /// The client no longer waits for the request.
     Abandoned {
-        /// The request that its client has given up or that is out of time.
+        /// The request that its client gave up or that ran out of time.
         request: RequestId,
     },
     /// A health check that [`Action::HealthCheck`](super::Action::HealthCheck) asked for ended.
@@ -118,68 +117,68 @@
         backend: BackendId,
         /// How the health check ended.
         outcome: Outcome,
-        /// How long the health check took.
+        /// Duration of the health check.
         latency: Micros,
-        /// The load report that came with the answer; empty where there was none.
+        /// The load report of the answer; empty if there was none.
         report: LoadReport,
     },
     /// A call to the quota counter ended.
     CounterReplied {
-        /// The name that the call added to.
+        /// The counter name that the call added to.
         name: CounterName,
-        /// How the call ended; after [`Outcome::TimedOut`] the amount may have been added all the same.
+        /// How the call ended; after [`Outcome::TimedOut`] the amount may have been added nevertheless.
         outcome: Outcome,
-        /// What the counter holds under the name after the call; `None` where it did not say.
+        /// The total under the name after the call; `None` if the counter did not report it.
         total: Option<f64>,
     },
-    /// A message came from a peer.
+    /// A peer sent a message.
     PeerMessage {
-        /// Number of the limiter that sent it, as in [`Settings::limiter`](super::Settings::limiter).
+        /// Number of the sending limiter, as in [`Settings::limiter`](super::Settings::limiter).
         from: u32,
-        /// Contents of the message.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
     /// A timer asked for by [`Action::SetTimer`](super::Action::SetTimer) is due.
     Timer,
 }
 
-/// A request taken from a client.
+/// A request from a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Names the request in all later events and actions; not used again while it is open.
+    /// Identifies the request in all later events and actions; not reused while the request is open.
     pub id: RequestId,
     /// Index in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
     /// Index in [`Settings::plans`](super::Settings::plans).
     pub plan: usize,
-    /// The customer who is charged for it.
+    /// The customer that is charged for the request.
     pub customer: CustomerId,
-    /// What it costs of the customer's quota; a guess where
+    /// Cost of the request in units of the customer's quota; an estimate if
     /// [`Settings::actual_cost_reported`](super::Settings::actual_cost_reported) is set.
     pub units: f64,
-    /// How long the client still waits.
+    /// Time that the client still waits.
     pub timeout: Micros,
-    /// How many limiters this customer's requests come in through.
+    /// Number of limiters that receive this customer's requests.
     pub spread: u32,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// 0 for a request's first attempt.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Time from the start of the attempt to its end.
     pub latency: Micros,
-    /// Nothing more is owed for the request.
+    /// Whether the request is finished, so that no further attempt or answer is needed.
     pub request_done: bool,
-    /// The meter's figure: the customer's usage by all limiters, as a share of its quota.
+    /// Reading of the usage meter: the customer's usage at all limiters, as a share of its quota.
     pub metered_usage: Option<f64>,
-    /// The true units, once told.
+    /// The actual units, if reported.
     pub actual_units: Option<f64>,
-    /// The load report that came with the answer; empty where there was none.
+    /// The load report of the answer; empty if there was none.
     pub report: LoadReport,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -2,67 +2,67 @@
 
 use super::Micros;
 
-/// Whether a request may be repeated.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats do no harm.
+    /// Repeated execution does no harm.
     Idempotent,
-    /// The request carries an idempotency key, by which backends that share a memory of keys drop repeats.
+    /// The request carries an idempotency key. Backends that share a store of keys drop repeats.
     IdempotencyKey {
-        /// The backends that share the memory: a repeat is safe only within it.
+        /// The backends that share the store: a repeat is safe only among them.
         scope: KeyScope,
-        /// How long after the start of the first attempt that may have run repeats are dropped.
+        /// Time after the start of the first attempt that may have run in which repeats are dropped.
         window: Micros,
     },
-    /// Must never run twice.
+    /// The request must never run twice.
     NotIdempotent,
 }
 
 impl Idempotency {
-    /// Whether any backend may get a retry of a request that may have run, and so the client may send one.
+    /// Whether a request that may have run can be retried on any backend, and so by the client.
     pub fn may_retry_on_any_backend(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. })
     }
 }
 
-/// The backends that share a memory of idempotency keys.
+/// The backends that share a store of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All backends.
     All,
-    /// Those of one zone.
+    /// The backends of one zone.
     Zone,
-    /// Those of one cell.
+    /// The backends of one cell.
     Cell,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Names the class in requests and in versions of the runtime configuration.
+    /// Name of the class in requests and in versions of the runtime configuration.
     pub name: String,
-    /// What an answer of this class is worth.
+    /// Value of an answer of this class, relative to other classes.
     pub priority_weight: f64,
-    /// An answer within this time counts in full.
+    /// Time within which an answer counts in full.
     pub latency_objective: Micros,
     /// Share of the priority weight that an answer earns after the latency objective.
     pub late_weight_share: f64,
-    /// Whether its requests may be sent again after an attempt that may have run.
+    /// Whether requests of this class may be sent again after an attempt that may have run.
     pub idempotency: Idempotency,
 }
 
-/// A customer's plan; a rate, limit or ceiling of 0 means none.
+/// A customer's plan. A rate, limit or ceiling of 0 means that there is none.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Names the plan in requests and in versions of the runtime configuration.
+    /// Name of the plan in requests and in versions of the runtime configuration.
     pub name: String,
-    /// Quota in units a second.
+    /// Quota in units per second.
     pub rate: f64,
     /// Capacity of the quota's token bucket, in units.
     pub burst: f64,
-    /// Attempts that a customer may have in flight at once.
+    /// Maximum number of attempts that a customer may have in flight.
     pub concurrency_limit: u32,
-    /// Hard ceiling in units a second.
+    /// Hard ceiling in units per second.
     pub ceiling_rate: f64,
     /// Capacity of the ceiling's token bucket, in units.
     pub ceiling_burst: f64,
@@ -75,55 +75,56 @@
 /// How endpoint lists arrive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// Service discovery pushes changes.
     #[default]
     Push,
-    /// Lists come only when asked for.
+    /// Lists are delivered only on request.
     Poll {
-        /// The time between two calls; for so long a list counts as up to date.
+        /// Time between two calls. A list counts as current for this long.
         interval: Micros,
     },
 }
 
-/// How backends warm up after their start, and what overloads them meanwhile.
+/// How backends warm up after their start, and what overloads them in this phase.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// Least share of its capacity that a backend has when it starts.
+    /// Minimum share of its capacity that a backend has when it starts.
     pub initial_share: f64,
-    /// Time after which it is warm at the latest.
+    /// Maximum time until a backend is warm.
     pub duration: Micros,
-    /// It is overloaded when sent more than this many times its present capacity over one `overload_window`.
+    /// A backend is overloaded if it is sent more than this many times its current capacity within one
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// The span over which what is sent is compared with the capacity.
+    /// Time over which the requests sent are compared with the capacity.
     pub overload_window: Micros,
 }
 
-/// What a limiter is told when it starts.
+/// Settings of a limiter.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// The number of this limiter, from 0.
+    /// Number of this limiter, from 0.
     pub limiter: u32,
-    /// How many limiters there are.
+    /// Total number of limiters.
     pub limiters: u32,
-    /// The zone that this limiter runs in; backends of the same zone are preferred.
+    /// Zone of this limiter; backends of the same zone are preferred.
     pub zone: String,
-    /// Events come in batches at most this often.
+    /// Minimum time between two batches of events.
     pub tick: Micros,
-    /// The request classes, at least one; events name a class by its index here.
+    /// Request classes, at least one; events refer to a class by its index.
     pub classes: Vec<Class>,
-    /// The customers' plans, at least one; events name a plan by its index here.
+    /// Customers' plans, at least one; events refer to a plan by its index.
     pub plans: Vec<Plan>,
     /// How endpoint lists arrive; pushed by default.
     pub discovery: Discovery,
     /// How backends warm up after their start.
     pub slow_start: SlowStart,
-    /// Grace for attempts at a draining backend.
+    /// Time that attempts at a draining backend get to finish.
     pub drain_grace: Micros,
-    /// Most attempts of one request, the first included.
+    /// Maximum number of attempts of a request, the first included.
     pub max_attempts: u32,
-    /// Whether a second attempt may be sent while the first is out.
+    /// Whether a second attempt may be sent while the first is in flight.
     pub hedged_requests: bool,
-    /// Whether the program can call off an attempt that is out
+    /// Whether the program can cancel an attempt in flight
     /// ([`Action::CancelAttempt`](super::Action::CancelAttempt)).
     pub cancel: bool,
     /// Whether the program can send health checks ([`Action::HealthCheck`](super::Action::HealthCheck)).
@@ -131,20 +132,20 @@
     /// Whether the program can carry messages between limiters
     /// ([`Action::SendToPeers`](super::Action::SendToPeers)).
     pub peer_messages: bool,
-    /// Longest retry-after that clients heed; 0 where it is not passed on.
+    /// Maximum retry-after that clients honor; 0 if it is not passed on to them.
     pub max_retry_after: Micros,
-    /// There is a shared quota counter, and a call is given up after this long.
+    /// Timeout of a call to the shared quota counter; `None` if there is no counter.
     pub counter_timeout: Option<Micros>,
-    /// Period of the usage meter, 0 where there is none.
+    /// Period of the usage meter; 0 if there is no meter.
     pub meter_period: Micros,
-    /// Units are guesses until the answer tells the true cost.
+    /// Whether the units of a request are an estimate and the answer reports the actual cost.
     pub actual_cost_reported: bool,
-    /// Most units that a request has.
+    /// Maximum number of units of a request.
     pub max_units: f64,
 }
 
-/// Indices of a version's classes and plans in [`Settings::classes`] and [`Settings::plans`], in the order in
-/// which the version gave them: what a [`Request`](super::Request) that arrives under it carries.
+/// Indices of a version's classes and plans in [`Settings::classes`] and [`Settings::plans`], in the order of
+/// the version. A [`Request`](super::Request) that arrives under the version carries them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionIndices {
     /// One index in [`Settings::classes`] for each class of the version.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of a rate limiter that keeps each customer of shared backends to its plan.
+//! Decision logic of a rate limiter that holds each customer of shared backends to its plan.
 //!
-//! sedgestack does no I/O. A [`Limiter`] is told what happened ([`Event`]) and when, and says what to do
-//! ([`Action`]); sockets, clocks and threads stay with the program that embeds it. The same events give
-//! the same actions. Limiters need not agree on anything: each keeps the rules by itself, and they share
-//! nothing but a quota counter, where there is one. [`platform`] reads settings as the platform words them.
+//! sedgestack does no I/O. A [`Limiter`] is given events ([`Event`]) with their times and returns actions
+//! ([`Action`]); the program that embeds it provides sockets, clocks and threads. The same events always
+//! lead to the same actions. Limiters need no consensus: each enforces the rules by itself, and they share
+//! only a quota counter, if there is one. [`platform`] reads settings in the format of the platform.
 //!
 //! ```
 //! use sedgestack::*;
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,6 +1,7 @@
-//! The platform's settings and load reports, as its simulator and its sockets both word them.
+//! The platform's format of settings and load reports, which its simulator and its sockets share.
 //!
-//! Translates only: JSON into [`Settings`](crate::Settings) and the limits of the program round a limiter.
+//! This module only translates: JSON into [`Settings`](crate::Settings) and into the resource limits of the
+//! program around a limiter.
 
 mod load_report;
 mod names;
@@ -12,10 +13,10 @@
 
 use crate::interface::Micros;
 
-/// Times from here on count as none at all. Guards sums of times against overflow.
+/// Upper bound of times in microseconds, which prevents overflow of sums; longer times are invalid.
 const MAX_MICROS: f64 = 9.0e15;
 
-/// Milliseconds of the platform to whole microseconds.
+/// Converts milliseconds to whole microseconds; `None` if the time is negative, not finite or too long.
 pub fn micros(ms: f64) -> Option<Micros> {
     let us = (ms * 1000.0).round();
     (0.0..MAX_MICROS).contains(&us).then_some(us as Micros)
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -1,8 +1,8 @@
-//! Where the names in requests and load reports stand in the settings.
+//! Lookup of the names in requests and load reports.
 
 use std::collections::BTreeMap;
 
-/// Names of classes and plans, to their place in the settings, and the load reports' columns.
+/// Maps names of classes and plans to their indices in the settings, and lists the columns of load reports.
 #[derive(Clone, Debug)]
 pub struct NameIndex {
     classes: BTreeMap<String, usize>,
@@ -11,7 +11,7 @@
 }
 
 impl NameIndex {
-    /// Names in their places.
+    /// Creates an index in which each name stands for its position.
     pub fn new<'a>(
         classes: impl IntoIterator<Item = &'a str>,
         plans: impl IntoIterator<Item = &'a str>,
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Index of a class in [`Settings::classes`](crate::Settings::classes).
+    /// Returns the index of a class in [`Settings::classes`](crate::Settings::classes).
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.get(name).copied()
     }
 
-    /// Index of a plan in [`Settings::plans`](crate::Settings::plans).
+    /// Returns the index of a plan in [`Settings::plans`](crate::Settings::plans).
     pub fn plan(&self, name: &str) -> Option<usize> {
         self.plans.get(name).copied()
     }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings document: its sections, the checks of their values, and their translation.
+//! The platform's settings document: its sections, validation and translation.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,15 +8,15 @@
 use super::{micros, NameIndex};
 use crate::interface::*;
 
-/// What is wrong with a setting.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("settings.{key}: {value}, expected {expected}")]
 pub struct SettingError {
-    /// The path of the setting within the document.
+    /// Path of the setting within the document.
     pub key: String,
-    /// The value found there, as text.
+    /// The invalid value, as text.
     pub value: String,
-    /// What a valid value would be, worded to follow "expected" in the message.
+    /// Description of a valid value, which follows "expected" in the message.
     pub expected: &'static str,
 }
 
@@ -26,20 +26,20 @@
     }
 }
 
-/// What the settings allow the program round a limiter.
+/// Limits that the settings set for the program around a limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// A connection that is not up by then has failed.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Micros,
-    /// The other side closes a connection that has stood idle for so long.
+    /// Time after which the other side closes an idle connection.
     pub keepalive: Micros,
-    /// Requests that may be open at once.
+    /// Maximum number of requests open at once.
     pub max_open: usize,
-    /// The longest that a client waits.
+    /// The longest deadline of all classes.
     pub longest_deadline: Micros,
 }
 
-/// The settings as the platform hands them out.
+/// The settings document that the platform provides.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Document {
@@ -157,12 +157,12 @@
     stop_sending_within_ms: f64,
 }
 
-/// Reads a time.
+/// Converts a time in milliseconds, or returns an error that names `key`.
 fn parse_millis(ms: f64, key: &str) -> Result<Micros, SettingError> {
     micros(ms).ok_or_else(|| SettingError::new(key, ms, "a time in milliseconds of 0 or more"))
 }
 
-/// Checks numbers, given by their keys: each is to be finite, and none negative.
+/// Returns an error unless all numbers, given with their keys, are finite and not negative.
 fn check_not_negative<'a>(numbers: impl IntoIterator<Item = (String, &'a f64)>) -> Result<(), SettingError> {
     match numbers.into_iter().find(|(_, value)| !value.is_finite() || **value < 0.0) {
         Some((key, value)) => Err(SettingError::new(key, value, "a number of 0 or more")),
@@ -170,7 +170,8 @@
     }
 }
 
-/// Checks the names by which requests say what they are: at least one, none empty, each of them once.
+/// Checks the names that requests refer to: there must be at least one, none may be empty, and each must be
+/// unique.
 fn check_names<'a>(key: &str, names: impl IntoIterator<Item = &'a String>) -> Result<(), SettingError> {
     let mut seen = BTreeSet::new();
     for (n, name) in names.into_iter().enumerate() {
@@ -179,17 +180,17 @@
             return Err(SettingError::new(key, "''", "a name"));
         }
         if !seen.insert(name) {
-            return Err(SettingError::new(key, format!("'{name}'"), "a name that no other has"));
+            return Err(SettingError::new(key, format!("'{name}'"), "a unique name"));
         }
     }
     if seen.is_empty() {
-        return Err(SettingError::new(key, "[]", "one entry at least"));
+        return Err(SettingError::new(key, "[]", "at least one entry"));
     }
     Ok(())
 }
 
 impl PlanEntry {
-    /// The numbers of the plan by their keys.
+    /// Returns the numbers of the plan with their keys.
     fn numbers(&self) -> [(&'static str, &f64); 6] {
         [
             ("rate", &self.rate),
@@ -216,12 +217,12 @@
 }
 
 impl Profile {
-    /// The numbers of the profile by their keys.
+    /// Returns the numbers of the profile with their keys.
     fn numbers(&self) -> [(&'static str, &f64); 2] {
         [("credit", &self.credit), ("lateValue", &self.late_value)]
     }
 
-    /// The class of the profile; `n` is its place in the document.
+    /// Returns the class that the profile describes; `n` is its position in the document.
     fn decode(&self, n: usize) -> Result<Class, SettingError> {
         let key = |key: &str| format!("profiles[{n}].{key}");
         let scope = self.decode_key_scope(&key("keyScope"))?;
@@ -287,7 +288,7 @@
 }
 
 impl Document {
-    /// Refuses values that no part of the program could work with, at a start and a reload alike.
+    /// Rejects values that are unusable both at startup and on a reload.
     fn check(&self) -> Result<(), SettingError> {
         check_names("profiles", self.profiles.iter().map(|profile| &profile.name))?;
         check_names("plans", self.plans.iter().map(|plan| &plan.name))?;
@@ -320,10 +321,12 @@
         check_not_negative(profiles.chain(plans).chain(others))
     }
 
-    /// Checks the document and gives a limiter's settings, the names in them and the program's limits.
+    /// Validates the document and returns the limiter's settings, the index of their names, and the resource
+    /// limits of the program.
     ///
     /// # Errors
-    /// The first setting whose value can't be used.
+    ///
+    /// Returns the first setting with an invalid value.
     pub fn decode(self) -> Result<(Settings, NameIndex, ResourceLimits), SettingError> {
         self.check()?;
         let classes = self.decode_classes()?;
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the texts that operators read where settings or load reports can't be used.
+//! Tests of the messages that operators read when settings or load reports are invalid.
 
 use super::*;
 
-/// A document that can be used.
+/// A valid settings document.
 fn document() -> serde_json::Value {
     serde_json::json!({
         "caps": {},
@@ -18,10 +18,10 @@
 }
 
 #[test]
-fn a_setting_error_names_key_value_and_expectation() {
+fn setting_error_names_key_value_and_expectation() {
     let cases = [
         ("/selfIndex", 2.into(), "settings.selfIndex: 2, expected a number below nInstances"),
-        ("/plans", serde_json::json!([]), "settings.plans: [], expected one entry at least"),
+        ("/plans", serde_json::json!([]), "settings.plans: [], expected at least one entry"),
         ("/plans/0/name", "".into(), "settings.plans[0].name: '', expected a name"),
         ("/plans/0/rate", (-1.5).into(), "settings.plans[0].rate: -1.5, expected a number of 0 or more"),
         (
@@ -45,32 +45,33 @@
     ];
     for (pointer, value, expected) in cases {
         let mut json = document();
-        let (parent, key) = pointer.rsplit_once('/').expect("a pointer has a parent");
-        let parent = json.pointer_mut(parent).expect("the parent is in the document");
+        let (parent, key) = pointer.rsplit_once('/').expect("the pointer has a parent");
+        let parent = json.pointer_mut(parent).expect("the parent exists");
         parent[key] = value;
-        let document: Document = serde_json::from_value(json).expect("the document has the platform's form");
-        let error = document.decode().expect_err("the value can't be used");
+        let document: Document =
+            serde_json::from_value(json).expect("the document has the platform's format");
+        let error = document.decode().expect_err("the value is invalid");
         assert_eq!(error.to_string(), expected);
     }
     let document: Document =
-        serde_json::from_value(document()).expect("the document has the platform's form");
+        serde_json::from_value(document()).expect("the document has the platform's format");
     assert!(document.decode().is_ok());
 }
 
 #[test]
-fn a_name_that_stands_twice_is_named() {
+fn duplicate_name_is_reported() {
     let mut json = document();
     json["plans"] = serde_json::json!([{"name": "basic"}, {"name": "basic"}]);
-    let document: Document = serde_json::from_value(json).expect("the document has the platform's form");
-    let error = document.decode().expect_err("the name stands twice");
-    assert_eq!(error.to_string(), "settings.plans[1].name: 'basic', expected a name that no other has");
+    let document: Document = serde_json::from_value(json).expect("the document has the platform's format");
+    let error = document.decode().expect_err("the name occurs twice");
+    assert_eq!(error.to_string(), "settings.plans[1].name: 'basic', expected a unique name");
 }
 
 #[test]
-fn a_load_report_error_quotes_what_is_wrong() {
+fn load_report_error_quotes_the_invalid_text() {
     let names = NameIndex::new([], [], ["queue"]);
     let text = |report| names.load_report(report, '=').map_err(|e| e.to_string());
     assert_eq!(text("queue").unwrap_err(), "'queue' is not name=value");
-    assert_eq!(text("queue=-1").unwrap_err(), "'-1' is no figure of a load report");
+    assert_eq!(text("queue=-1").unwrap_err(), "'-1' is not a finite number of 0 or more");
     assert_eq!(text("-, queue=3,other=4").map(|report| report.queue), Ok(Some(3.0)));
 }
--- a/tests/limiter/main.rs
+++ b/tests/limiter/main.rs
@@ -397,9 +397,9 @@
         ),
         (
             with("/settings/plans/1/name", json!("small")),
-            "settings.plans[1].name: 'small', expected a name that no other has",
+            "settings.plans[1].name: 'small', expected a unique name",
         ),
-        (with("/settings/profiles", json!([])), "settings.profiles: [], expected one entry at least"),
+        (with("/settings/profiles", json!([])), "settings.profiles: [], expected at least one entry"),
         (with("/settings/selfIndex", json!(1)), "settings.selfIndex: 1, expected a number below nInstances"),
         (with("/settings/caps/maxAttempts", json!(0)), "settings.caps.maxAttempts: 0, expected 1 or more"),
         (
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -27,7 +27,7 @@
     let mut plans = settings.plans.clone();
     (plans[0].rate, plans[1].name) = (3.0, "gold".into());
     let told = limiter.adopt_version(&settings.classes, &plans).expect_err("no such plan");
-    assert_eq!(told.to_string(), "a version can't bring in plan gold, nor give it another worth");
+    assert_eq!(told.to_string(), "a version cannot add plan gold or change its priority weight");
     let mut dearer = settings.classes.clone();
     dearer[0].priority_weight += 1.0;
     assert!(matches!(limiter.adopt_version(&dearer, &settings.plans), Err(SettingsError::Incompatible(_))));
