--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small world for tests of the module alone.
+//! Fixtures for tests of a single limiter: settings, events, and queries on actions.
 #![allow(dead_code)]
 
 use sedgestack::*;
@@ -6,18 +6,19 @@
 pub const MS: Micros = 1_000;
 pub const START: Micros = 1_000_000_000;
 
-pub fn class(name: &str, worth: f64, effect: Idempotency) -> Class {
+pub fn class(name: &str, weight: f64, repeat_safety: Idempotency) -> Class {
     Class {
         name: name.into(),
-        priority_weight: worth,
+        priority_weight: weight,
         latency_objective: 250 * MS,
         late_weight_share: 0.0,
-        idempotency: effect,
+        idempotency: repeat_safety,
     }
 }
 
-/// Classes 0 `safe`, 1 `keyed` (group all, 1 s), 2 `unsafe`, 3 `keyed` within a cell; plan 0 has no
-/// limits, plan 1 a rate of 10 with a burst of 20, plan 2 an open limit of 2, plan 3 a ceiling of 20.
+/// Settings with the classes 0 `safe`, 1 `keyed` (idempotency key valid at all backends for 1 s), 2 `unsafe`,
+/// and 3 `cell` (idempotency key valid within a cell). Plan 0 has no limits, plan 1 a rate of 10 with a burst
+/// of 20, plan 2 a concurrency limit of 2, and plan 3 a ceiling of 20.
 pub fn settings() -> Settings {
     let plan = |name: &str| Plan {
         name: name.into(),
@@ -67,25 +68,25 @@
     }
 }
 
-pub fn entry(backend: &str, state: BackendState) -> Endpoint {
+pub fn endpoint(backend: &str, state: BackendState) -> Endpoint {
     Endpoint { backend: backend.into(), state, zone: "a".into(), cell: 0, started_at: 0, weight: 1.0 }
 }
 
-pub fn list(version: u64, whole: bool, entries: Vec<Endpoint>) -> Event {
-    Event::EndpointsChanged { version, complete: whole, endpoints: entries.into() }
+pub fn endpoint_list(version: u64, is_complete: bool, endpoints: Vec<Endpoint>) -> Event {
+    Event::EndpointsChanged { version, complete: is_complete, endpoints: endpoints.into() }
 }
 
-/// A request of customer 7, which comes in through two limiters.
-pub fn taken(id: RequestId, class: usize, plan: usize) -> Request {
+/// Returns a request of customer 7, whose requests are received by two limiters.
+pub fn new_request(id: RequestId, class: usize, plan: usize) -> Request {
     Request { id, class, plan, customer: 7, units: 1.0, timeout: 800 * MS, spread: 2 }
 }
 
-pub fn request(id: RequestId, class: usize, plan: usize) -> Event {
-    Event::Request(taken(id, class, plan))
+pub fn request_event(id: RequestId, class: usize, plan: usize) -> Event {
+    Event::Request(new_request(id, class, plan))
 }
 
-/// The end of an attempt after 40 ms.
-pub fn over(request: RequestId, attempt: u32, outcome: Outcome, finished: bool) -> AttemptResult {
+/// Returns the result of an attempt that ended after 40 ms.
+pub fn attempt_result(request: RequestId, attempt: u32, outcome: Outcome, finished: bool) -> AttemptResult {
     AttemptResult {
         request,
         attempt,
@@ -98,29 +99,29 @@
     }
 }
 
-pub fn end(request: RequestId, attempt: u32, outcome: Outcome, finished: bool) -> Event {
-    Event::AttemptEnded(over(request, attempt, outcome, finished))
+pub fn attempt_ended(request: RequestId, attempt: u32, outcome: Outcome, finished: bool) -> Event {
+    Event::AttemptEnded(attempt_result(request, attempt, outcome, finished))
 }
 
-/// The ends of all first attempts that `actions` send.
-pub fn ends(actions: &[Action], outcome: Outcome) -> Vec<Event> {
-    sends(actions).iter().map(|(r, _)| end(*r, 0, outcome, true)).collect()
+/// Returns the ends of all first attempts among `actions`.
+pub fn attempts_ended(actions: &[Action], outcome: Outcome) -> Vec<Event> {
+    started_attempts(actions).iter().map(|(r, _)| attempt_ended(*r, 0, outcome, true)).collect()
 }
 
-pub fn answer(name: CounterName, total: f64) -> Event {
+pub fn counter_reply(name: CounterName, total: f64) -> Event {
     Event::CounterReplied { name, outcome: Outcome::Ok, total: Some(total) }
 }
 
-/// A limiter that knows `backends` warm backends, `b0` and on.
-pub fn limiter(settings: Settings, backends: usize) -> Limiter {
-    let mut g = Limiter::new(settings, 1).expect("settings are sound");
-    let names: Vec<Endpoint> =
-        (0..backends).map(|i| entry(&format!("b{i}"), BackendState::InService)).collect();
-    g.handle(START, &[list(1, true, names)]);
-    g
+/// Returns a limiter that knows `backends` warm backends, named `b0` and up.
+pub fn new_limiter(settings: Settings, backends: usize) -> Limiter {
+    let mut limiter = Limiter::new(settings, 1).expect("valid settings");
+    let endpoints: Vec<Endpoint> =
+        (0..backends).map(|i| endpoint(&format!("b{i}"), BackendState::InService)).collect();
+    limiter.handle(START, &[endpoint_list(1, true, endpoints)]);
+    limiter
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(RequestId, BackendId)> {
+pub fn started_attempts(actions: &[Action]) -> Vec<(RequestId, BackendId)> {
     let sent = |a: &Action| match a {
         Action::StartAttempt { request, backend, .. } => Some((*request, backend.clone())),
         _ => None,
@@ -128,16 +129,16 @@
     actions.iter().filter_map(sent).collect()
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail { request: id })
 }
 
-/// The counter calls among actions: name and amount.
-pub fn counts(actions: &[Action]) -> Vec<(CounterName, f64)> {
+/// Returns name and amount of each counter call among `actions`.
+pub fn counter_calls(actions: &[Action]) -> Vec<(CounterName, f64)> {
     let call = |a: &Action| match a {
         Action::CallCounter { name, amount, .. } => Some((*name, *amount)),
         _ => None,
--- a/tests/common/script.rs
+++ b/tests/common/script.rs
@@ -1,4 +1,4 @@
-//! Peers that force an order of events on loopback, and barriers on what was observed.
+//! Peers that force an order of events on loopback, and barriers on observed state.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
@@ -6,7 +6,8 @@
 
 use socket2::{Domain, SockRef, Socket, Type};
 
-/// A listener whose queue is full: connections to it neither come up nor are refused, until it is opened.
+/// A listener whose accept queue is full: connections to it are neither established nor refused until it is
+/// opened.
 pub struct FullBacklogListener {
     socket: Socket,
     fillers: Vec<TcpStream>,
@@ -17,19 +18,19 @@
     pub fn listen() -> FullBacklogListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let loopback: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&loopback.into()).expect("loopback has a port");
+        socket.bind(&loopback.into()).expect("loopback has a free port");
         FullBacklogListener::fill(socket)
     }
 
-    /// From now on no further connection to the listener comes up.
+    /// Fills the queue of `listener`, so that no further connection to it is established.
     pub fn from_listener(listener: TcpListener) -> FullBacklogListener {
         FullBacklogListener::fill(Socket::from(listener))
     }
 
     fn fill(socket: Socket) -> FullBacklogListener {
-        socket.listen(0).expect("it listens");
-        let address = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("it is bound");
-        // Connections come up until the queue is full; the first that does not shows that it is.
+        socket.listen(0).expect("the socket listens");
+        let address = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("the socket is bound");
+        // Connections are established until the queue is full; the first one that is not shows that it is.
         let mut fillers = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(50)) {
             fillers.push(stream);
@@ -37,32 +38,32 @@
         FullBacklogListener { socket, fillers, address }
     }
 
-    /// From now on connections come up, also those that wait.
+    /// Empties the queue, so that connections are established again, including those that wait.
     pub fn open(self) -> TcpListener {
-        self.socket.listen(128).expect("it listens");
+        self.socket.listen(128).expect("the socket listens");
         let listener = TcpListener::from(self.socket);
         for filler in self.fillers {
-            drop((listener.accept().expect("it waits"), filler));
+            drop((listener.accept().expect("the connection waits"), filler));
         }
         listener
     }
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection with a reset.
 pub fn reset(stream: TcpStream) {
-    SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("linger is known");
+    SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("SO_LINGER is supported");
 }
 
-/// Ends the sending on a connection, and waits until the other machine has the end: its process then finds it before
-/// whatever comes later, on this connection or on others.
+/// Shuts down the sending side of a connection and waits until the peer's kernel has acknowledged it. The
+/// peer's process then sees the end before anything sent later, on this or other connections.
 pub fn shut_down_write(stream: &TcpStream) {
-    stream.shutdown(std::net::Shutdown::Write).expect("it is open");
+    stream.shutdown(std::net::Shutdown::Write).expect("the connection is open");
     while matches!(connection_state(stream), TCP_ESTABLISHED | TCP_FIN_WAIT1) {
         std::thread::yield_now();
     }
 }
 
-/// States of a connection, as the machine numbers them (TCP_ESTABLISHED, TCP_FIN_WAIT1).
+/// TCP connection states as numbered by the kernel.
 const TCP_ESTABLISHED: u8 = 1;
 const TCP_FIN_WAIT1: u8 = 4;
 
@@ -77,12 +78,12 @@
             libc::getsockopt(descriptor, libc::IPPROTO_TCP, libc::TCP_INFO, pointer, &raw mut length);
         (result, info.assume_init())
     };
-    assert_eq!(result, 0, "the machine tells of its connections");
+    assert_eq!(result, 0, "the kernel reports TCP_INFO");
     info.tcpi_state
 }
 
-/// The figure of `name` in a line of counters.
+/// Returns the value of counter `name` in a line of counters.
 pub fn counter_value(counters: &str, name: &str) -> u64 {
-    let told = counters.split_whitespace().find_map(|c| c.strip_prefix(name)?.strip_prefix('='));
-    told.and_then(|t| t.parse().ok()).unwrap_or_else(|| panic!("no {name} in {counters}"))
+    let value = counters.split_whitespace().find_map(|c| c.strip_prefix(name)?.strip_prefix('='));
+    value.and_then(|t| t.parse().ok()).unwrap_or_else(|| panic!("no {name} in {counters}"))
 }
--- a/tests/decisions/backends.rs
+++ b/tests/decisions/backends.rs
@@ -1,132 +1,141 @@
-//! The driver's backends: slower the more is out at them, with every kind of trouble.
+//! Simulated backends: latency grows with the attempts in flight, and all kinds of failures occur.
 
 use sedgestack::{BackendId, BackendState, Endpoint, LoadReport, Micros, Outcome};
 
-use crate::draws::Draws;
+use crate::draws::Rng;
 
 pub const MILLISECOND: Micros = 1_000;
 
 const ZONES: u64 = 3;
 const CELL_SIZE: usize = 2;
-/// Times its slots that a backend takes in before it turns requests away.
-const LINE: usize = 3;
-/// Share of connections to a backend in trouble that fail.
-const TROUBLED_FAILS: f64 = 0.6;
+/// Attempts in flight, as a multiple of its slots, above which a backend rejects.
+const MAX_IN_FLIGHT_FACTOR: usize = 3;
+/// Share of failing connections to a backend that currently fails.
+const FAILING_CONNECT_SHARE: f64 = 0.6;
 
-/// One backend, as it is and as the list has it.
+/// A backend and its entry in the endpoint list.
 pub struct Backend {
     pub name: BackendId,
     pub state: BackendState,
-    pub started: Micros,
-    pub out: usize,
-    /// Times the usual service time.
-    pub slow: f64,
-    /// Until then most connections to it fail.
-    pub troubled_until: Micros,
+    pub started_at: Micros,
+    pub in_flight: usize,
+    /// Factor on the service time.
+    pub slowness: f64,
+    /// Time until which most connections to the backend fail.
+    pub failing_until: Micros,
     zone: String,
     cell: u32,
     slots: usize,
 }
 
-/// How an attempt will end.
+/// The end of an attempt.
 #[derive(Clone, Copy)]
-pub struct End {
+pub struct AttemptEnd {
     pub outcome: Outcome,
     pub latency: Micros,
 }
 
-/// What an attempt is sent with.
+/// Parameters of an attempt.
 #[derive(Clone, Copy)]
-pub struct Sent {
+pub struct AttemptParams {
     pub units: f64,
     pub timeout: Option<Micros>,
-    pub within: Option<Micros>,
+    pub write_within: Option<Micros>,
 }
 
 impl Backend {
-    pub fn new(number: usize, slots: usize, draws: &mut Draws) -> Backend {
+    pub fn new(number: usize, slots: usize, rng: &mut Rng) -> Backend {
         Backend {
             name: format!("b{number}").into(),
             state: BackendState::InService,
-            started: 0,
-            out: 0,
-            slow: 0.7 + 0.6 * draws.share(),
-            troubled_until: 0,
+            started_at: 0,
+            in_flight: 0,
+            slowness: 0.7 + 0.6 * rng.fraction(),
+            failing_until: 0,
             zone: format!("z{}", number as u64 % ZONES),
             cell: (number / CELL_SIZE) as u32,
             slots,
         }
     }
 
-    /// Its entry, for gateways whose clock runs `scale` times as fast.
-    pub fn listed(&self, scale: u64) -> Endpoint {
+    /// Returns the backend's entry in an endpoint list, for limiters whose clock runs `scale` times as fast.
+    pub fn endpoint(&self, scale: u64) -> Endpoint {
         Endpoint {
             backend: self.name.clone(),
             state: self.state,
             zone: self.zone.clone(),
             cell: self.cell,
-            started_at: self.started * scale,
+            started_at: self.started_at * scale,
             weight: 1.0,
         }
     }
 
-    /// The next stage of its life: it drains, goes, and comes back as a fresh process.
-    pub fn move_on(&mut self, now: Micros, draws: &mut Draws) {
+    /// Advances the life cycle: the backend drains, is gone, and returns as a new process.
+    pub fn advance_state(&mut self, now: Micros, rng: &mut Rng) {
         self.state = match self.state {
-            BackendState::InService if draws.chance(0.3) => {
-                // A restart that the list has missed.
-                self.started = now;
+            BackendState::InService if rng.chance(0.3) => {
+                // A restart that the endpoint list does not show as an absence.
+                self.started_at = now;
                 BackendState::InService
             }
             BackendState::InService => BackendState::Draining,
-            BackendState::Draining if draws.chance(0.3) => BackendState::InService,
+            BackendState::Draining if rng.chance(0.3) => BackendState::InService,
             BackendState::Draining => BackendState::Gone,
             BackendState::Gone => {
-                self.started = now;
-                self.slow = 0.7 + 0.6 * draws.share();
+                self.started_at = now;
+                self.slowness = 0.7 + 0.6 * rng.fraction();
                 BackendState::InService
             }
         };
     }
 
-    /// How an attempt that is sent now will end, where nothing comes between.
-    pub fn end(&self, now: Micros, sent: Sent, service: Micros, trouble: f64, draws: &mut Draws) -> End {
-        let written = draws.below(3 * MILLISECOND);
-        if sent.within.is_some_and(|within| within < written) || draws.chance(trouble / 8.0) {
-            return End { outcome: Outcome::NotSent, latency: written };
+    /// Determines how an attempt that is sent now ends, unless it is canceled.
+    pub fn attempt_end(
+        &self,
+        now: Micros,
+        params: AttemptParams,
+        service_time: Micros,
+        failure_share: f64,
+        rng: &mut Rng,
+    ) -> AttemptEnd {
+        let write_time = rng.below(3 * MILLISECOND);
+        if params.write_within.is_some_and(|limit| limit < write_time) || rng.chance(failure_share / 8.0) {
+            return AttemptEnd { outcome: Outcome::NotSent, latency: write_time };
         }
-        let troubled = now < self.troubled_until && draws.chance(TROUBLED_FAILS);
-        if self.state == BackendState::Gone || troubled || draws.chance(trouble / 8.0) {
-            let latency = draws.between(MILLISECOND, 5 * MILLISECOND);
-            return End { outcome: Outcome::ConnectFailed, latency };
+        let connect_fails = now < self.failing_until && rng.chance(FAILING_CONNECT_SHARE);
+        if self.state == BackendState::Gone || connect_fails || rng.chance(failure_share / 8.0) {
+            let latency = rng.between(MILLISECOND, 5 * MILLISECOND);
+            return AttemptEnd { outcome: Outcome::ConnectFailed, latency };
         }
-        if self.out > LINE * self.slots || draws.chance(trouble / 4.0) {
-            let latency = draws.between(MILLISECOND, 3 * MILLISECOND);
-            return End { outcome: Outcome::Rejected, latency };
+        if self.in_flight > MAX_IN_FLIGHT_FACTOR * self.slots || rng.chance(failure_share / 4.0) {
+            let latency = rng.between(MILLISECOND, 3 * MILLISECOND);
+            return AttemptEnd { outcome: Outcome::Rejected, latency };
         }
-        let crowd = 1.0 + self.out as f64 / self.slots as f64;
-        let noise = 0.4 + 1.2 * draws.share();
-        let tail = if draws.chance(0.02) { 6.0 } else { 1.0 };
-        let latency = (service as f64 * self.slow * crowd * noise * tail * sent.units.max(0.5)) as Micros;
-        let outcome = if draws.chance(trouble / 2.0) {
-            draws.pick(&[Outcome::Error, Outcome::Reset])
+        let load_factor = 1.0 + self.in_flight as f64 / self.slots as f64;
+        let noise = 0.4 + 1.2 * rng.fraction();
+        let tail = if rng.chance(0.02) { 6.0 } else { 1.0 };
+        let latency =
+            (service_time as f64 * self.slowness * load_factor * noise * tail * params.units.max(0.5))
+                as Micros;
+        let outcome = if rng.chance(failure_share / 2.0) {
+            rng.pick(&[Outcome::Error, Outcome::Reset])
         } else {
             Outcome::Ok
         };
-        match sent.timeout {
-            Some(timeout) if timeout < latency => End { outcome: Outcome::TimedOut, latency: timeout },
-            _ => End { outcome, latency: latency.max(1) },
+        match params.timeout {
+            Some(timeout) if timeout < latency => AttemptEnd { outcome: Outcome::TimedOut, latency: timeout },
+            _ => AttemptEnd { outcome, latency: latency.max(1) },
         }
     }
 
-    /// A load report with some of its values.
-    pub fn report(&self, latency: Micros, draws: &mut Draws) -> LoadReport {
-        let utilization = (self.out as f64 / self.slots as f64).min(1.0);
+    /// Returns a load report with a random selection of values.
+    pub fn report(&self, latency: Micros, rng: &mut Rng) -> LoadReport {
+        let utilization = (self.in_flight as f64 / self.slots as f64).min(1.0);
         LoadReport {
-            queue: draws.chance(0.3).then_some(self.out.saturating_sub(self.slots) as f64),
-            in_flight: draws.chance(0.3).then_some(self.out as f64),
-            utilization: draws.chance(0.6).then_some(utilization),
-            latency: draws.chance(0.3).then_some(latency),
+            queue: rng.chance(0.3).then_some(self.in_flight.saturating_sub(self.slots) as f64),
+            in_flight: rng.chance(0.3).then_some(self.in_flight as f64),
+            utilization: rng.chance(0.6).then_some(utilization),
+            latency: rng.chance(0.3).then_some(latency),
         }
     }
 }
--- a/tests/decisions/counter.rs
+++ b/tests/decisions/counter.rs
@@ -1,28 +1,28 @@
-//! The driver's shared quota counter, on which gateways that aren't played count too.
+//! Simulated quota counter, which limiters outside the run also use.
 
 use std::collections::BTreeMap;
 
 use sedgestack::{CounterName, Micros, Outcome};
 
 use crate::backends::MILLISECOND;
-use crate::draws::Draws;
+use crate::draws::Rng;
 
-/// Outages: the counter is silent for this long, once in so many such spans.
+/// Outages: the counter does not answer for `OUTAGE`, once in `OUTAGE_CYCLE` such periods.
 const OUTAGE: Micros = 700 * MILLISECOND;
-const OUTAGE_EVERY: u64 = 7;
-const OUTAGE_PLACE: u64 = 3;
-/// Share of calls after which all counts are lost.
-const FLUSHES: f64 = 0.001;
-/// Share of lost calls that were added all the same.
-const LOST_BUT_ADDED: f64 = 0.5;
+const OUTAGE_CYCLE: u64 = 7;
+const OUTAGE_INDEX: u64 = 3;
+/// Share of calls before which the counter loses all counts.
+const FLUSH_SHARE: f64 = 0.001;
+/// Share of timed-out calls whose amount was added nevertheless.
+const ADDED_SHARE: f64 = 0.5;
 
 struct Count {
     total: f64,
-    until: Micros,
+    expires_at: Micros,
 }
 
-/// An answer to a call, and how long it takes to come.
-pub struct Answer {
+/// The reply to a call and its delay.
+pub struct CounterReply {
     pub outcome: Outcome,
     pub total: Option<f64>,
     pub delay: Micros,
@@ -33,29 +33,29 @@
     counts: BTreeMap<CounterName, Count>,
 }
 
-/// How well a counter does.
+/// Behavior of a counter.
 #[derive(Clone, Copy)]
-pub struct CounterCare {
-    /// Share of calls without an answer.
-    pub loss: f64,
-    pub outages: bool,
-    /// Units that others add for one that is added here, on average.
-    pub others: f64,
+pub struct CounterBehavior {
+    /// Share of failed calls.
+    pub loss_share: f64,
+    pub has_outages: bool,
+    /// Mean number of units that other limiters add for each unit added here.
+    pub others_per_unit: f64,
 }
 
 impl Counter {
     pub fn call(
         &mut self,
         now: Micros,
-        (name, amount, keep): (CounterName, f64, Micros),
-        care: CounterCare,
+        (name, amount, time_to_live): (CounterName, f64, Micros),
+        behavior: CounterBehavior,
         timeout: Micros,
-        draws: &mut Draws,
-    ) -> Answer {
-        let outage = care.outages && (now / OUTAGE) % OUTAGE_EVERY == OUTAGE_PLACE;
-        let delay = draws.between(300, 4 * MILLISECOND);
-        if outage || draws.chance(care.loss) {
-            let outcome = draws.pick(&[
+        rng: &mut Rng,
+    ) -> CounterReply {
+        let outage = behavior.has_outages && (now / OUTAGE) % OUTAGE_CYCLE == OUTAGE_INDEX;
+        let delay = rng.between(300, 4 * MILLISECOND);
+        if outage || rng.chance(behavior.loss_share) {
+            let outcome = rng.pick(&[
                 Outcome::TimedOut,
                 Outcome::TimedOut,
                 Outcome::Error,
@@ -63,23 +63,23 @@
                 Outcome::Rejected,
             ]);
             let timed_out = outcome == Outcome::TimedOut;
-            if timed_out && draws.chance(LOST_BUT_ADDED) {
-                self.add(now, name, amount, keep);
+            if timed_out && rng.chance(ADDED_SHARE) {
+                self.add(now, name, amount, time_to_live);
             }
-            return Answer { outcome, total: None, delay: if timed_out { timeout } else { delay } };
+            return CounterReply { outcome, total: None, delay: if timed_out { timeout } else { delay } };
         }
-        if draws.chance(FLUSHES) {
+        if rng.chance(FLUSH_SHARE) {
             self.counts.clear();
         }
-        let others = amount.max(0.0) * care.others * 2.0 * draws.share();
-        let total = self.add(now, name, amount + others, keep);
-        Answer { outcome: Outcome::Ok, total: Some(total), delay }
+        let others = amount.max(0.0) * behavior.others_per_unit * 2.0 * rng.fraction();
+        let total = self.add(now, name, amount + others, time_to_live);
+        CounterReply { outcome: Outcome::Ok, total: Some(total), delay }
     }
 
-    fn add(&mut self, now: Micros, name: CounterName, amount: f64, keep: Micros) -> f64 {
-        let fresh = || Count { total: 0.0, until: now + keep };
+    fn add(&mut self, now: Micros, name: CounterName, amount: f64, time_to_live: Micros) -> f64 {
+        let fresh = || Count { total: 0.0, expires_at: now + time_to_live };
         let count = self.counts.entry(name).or_insert_with(fresh);
-        if count.until <= now {
+        if count.expires_at <= now {
             *count = fresh();
         }
         count.total += amount;
--- a/tests/decisions/digest.rs
+++ b/tests/decisions/digest.rs
@@ -1,12 +1,12 @@
-//! A digest over decisions that depends on their meaning alone: neither on names in the code, nor on `Debug`
-//! output, nor on the hasher of a version of the standard library.
+//! A digest of decisions that depends only on their meaning: not on names in the code, `Debug` output, or the
+//! hasher of the standard library.
 
 use sedgestack::{Action, Micros, SettingsError, VersionIndices};
 
 const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// FNV-1a over 64 bits, fed with numbers in little-endian order and with texts behind their length.
+/// 64-bit FNV-1a. Numbers are added in little-endian order, and texts after their length.
 #[derive(Clone, Copy)]
 pub struct Digest(u64);
 
@@ -37,23 +37,23 @@
         self.number(size as u64);
     }
 
-    /// All bits of a figure: two figures are equal here only if they are the same to the last of them.
-    pub fn figure(&mut self, figure: f64) {
-        self.number(figure.to_bits());
+    /// Adds all bits of a number, so that any difference changes the digest.
+    pub fn float(&mut self, float: f64) {
+        self.number(float.to_bits());
     }
 
     pub fn text(&mut self, text: &str) {
-        self.counted(text.as_bytes());
+        self.length_prefixed(text.as_bytes());
     }
 
-    fn counted(&mut self, bytes: &[u8]) {
+    fn length_prefixed(&mut self, bytes: &[u8]) {
         self.size(bytes.len());
         self.bytes(bytes);
     }
 
-    fn span(&mut self, span: Option<Micros>) {
-        self.tag(u8::from(span.is_some()));
-        self.number(span.unwrap_or(0));
+    fn optional_duration(&mut self, duration: Option<Micros>) {
+        self.tag(u8::from(duration.is_some()));
+        self.number(duration.unwrap_or(0));
     }
 
     fn sizes(&mut self, sizes: &[usize]) {
@@ -64,13 +64,13 @@
     }
 
     pub fn action(&mut self, action: &Action) {
-        self.tag(kind(action) as u8);
+        self.tag(action_kind(action) as u8);
         match action {
             Action::StartAttempt { request, backend, timeout, write_within } => {
                 self.number(*request);
                 self.text(backend);
-                self.span(*timeout);
-                self.span(*write_within);
+                self.optional_duration(*timeout);
+                self.optional_duration(*write_within);
             }
             Action::CancelAttempt { request, attempt } => {
                 self.number(*request);
@@ -83,24 +83,24 @@
             Action::Fail { request } => self.number(*request),
             Action::CallCounter { name, amount, time_to_live } => {
                 self.number(*name);
-                self.figure(*amount);
+                self.float(*amount);
                 self.number(*time_to_live);
             }
             Action::HealthCheck { backend } => self.text(backend),
             Action::Subscribe => {}
-            Action::SendToPeers { bytes } => self.counted(bytes),
+            Action::SendToPeers { bytes } => self.length_prefixed(bytes),
             Action::SetTimer { after } => self.number(*after),
             Action::Log { text } => self.text(text),
         }
     }
 
-    /// What came of a version of the rules.
-    pub fn adopted(&mut self, adopted: &Result<VersionIndices, SettingsError>) {
-        match adopted {
-            Ok(places) => {
+    /// Adds the result of adopting a version.
+    pub fn adoption(&mut self, adoption: &Result<VersionIndices, SettingsError>) {
+        match adoption {
+            Ok(indices) => {
                 self.tag(0);
-                self.sizes(&places.classes);
-                self.sizes(&places.plans);
+                self.sizes(&indices.classes);
+                self.sizes(&indices.plans);
             }
             Err(SettingsError::NoClasses) => self.tag(1),
             Err(SettingsError::NoPlans) => self.tag(2),
@@ -116,36 +116,36 @@
     }
 }
 
-/// Kinds of actions, numbered as they go into the digest and into the counts of a recording.
+/// Kinds of actions. Their numbers are part of the digest and index the counts of a recording.
 #[derive(Clone, Copy)]
-pub enum Kind {
-    Send,
-    Cancel,
-    Refuse,
+pub enum ActionKind {
+    StartAttempt,
+    CancelAttempt,
+    Reject,
     Fail,
-    Count,
-    Probe,
+    CallCounter,
+    HealthCheck,
     Subscribe,
-    TellPeers,
+    SendToPeers,
     SetTimer,
     Log,
 }
 
-/// Names of the kinds in a recording, in the order of [`Kind`].
+/// Names of the kinds in a recording, in the order of [`ActionKind`].
 pub const KIND_NAMES: [&str; 10] =
     ["send", "cancel", "refuse", "fail", "count", "probe", "subscribe", "tell-peers", "set-timer", "log"];
 
-pub fn kind(action: &Action) -> Kind {
+pub fn action_kind(action: &Action) -> ActionKind {
     match action {
-        Action::StartAttempt { .. } => Kind::Send,
-        Action::CancelAttempt { .. } => Kind::Cancel,
-        Action::Reject { .. } => Kind::Refuse,
-        Action::Fail { .. } => Kind::Fail,
-        Action::CallCounter { .. } => Kind::Count,
-        Action::HealthCheck { .. } => Kind::Probe,
-        Action::Subscribe => Kind::Subscribe,
-        Action::SendToPeers { .. } => Kind::TellPeers,
-        Action::SetTimer { .. } => Kind::SetTimer,
-        Action::Log { .. } => Kind::Log,
+        Action::StartAttempt { .. } => ActionKind::StartAttempt,
+        Action::CancelAttempt { .. } => ActionKind::CancelAttempt,
+        Action::Reject { .. } => ActionKind::Reject,
+        Action::Fail { .. } => ActionKind::Fail,
+        Action::CallCounter { .. } => ActionKind::CallCounter,
+        Action::HealthCheck { .. } => ActionKind::HealthCheck,
+        Action::Subscribe => ActionKind::Subscribe,
+        Action::SendToPeers { .. } => ActionKind::SendToPeers,
+        Action::SetTimer { .. } => ActionKind::SetTimer,
+        Action::Log { .. } => ActionKind::Log,
     }
 }
--- a/tests/decisions/draws.rs
+++ b/tests/decisions/draws.rs
@@ -1,15 +1,15 @@
-//! The driver's random numbers. They must never change, so the generator is written out here.
+//! Random numbers of the driver. They must never change, so the generator is implemented here.
 
-/// SplitMix64: small, and the same on every machine.
-pub struct Draws(u64);
+/// The SplitMix64 generator, which gives the same numbers on every machine.
+pub struct Rng(u64);
 
-impl Draws {
-    pub fn new(seed: u64) -> Draws {
-        Draws(seed)
+impl Rng {
+    pub fn new(seed: u64) -> Rng {
+        Rng(seed)
     }
 
-    /// The next number, even over all of `u64`.
-    pub fn number(&mut self) -> u64 {
+    /// Returns the next number, evenly distributed over `u64`.
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut bits = self.0;
         bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -17,27 +17,27 @@
         bits ^ (bits >> 31)
     }
 
-    /// A number under `bound`.
+    /// Returns a number below `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
-        self.number() % bound
+        self.next_u64() % bound
     }
 
-    /// A number from `low` to under `high`.
+    /// Returns a number from `low` to below `high`.
     pub fn between(&mut self, low: u64, high: u64) -> u64 {
         low + self.below(high - low)
     }
 
-    /// A number from 0 to under 1.
-    pub fn share(&mut self) -> f64 {
-        (self.number() >> 11) as f64 / (1u64 << 53) as f64
+    /// Returns a number from 0 to below 1.
+    pub fn fraction(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// True with the given probability.
+    /// Returns true with the given probability.
     pub fn chance(&mut self, probability: f64) -> bool {
-        self.share() < probability
+        self.fraction() < probability
     }
 
-    /// One of some values.
+    /// Returns one of the values.
     pub fn pick<T: Copy>(&mut self, values: &[T]) -> T {
         values[self.below(values.len() as u64) as usize]
     }
--- a/tests/decisions/model.rs
+++ b/tests/decisions/model.rs
@@ -1,4 +1,4 @@
-//! Runs of the model, whose limiters are real gateways: every step of each of them is recorded.
+//! Runs of the fleet model, which uses real limiters: every step of each of them is recorded.
 
 use sedgestack_fleet::Fleet;
 use sedgestack_model::{demand, run_observed, Fault, RulesChange, Scenario};
@@ -32,14 +32,14 @@
 
 fn sample(seconds: u64) -> Fleet {
     let text = include_str!("../../deploy/fleet-sample.hcl");
-    let mut fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample has no fault");
+    let mut fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample is valid");
     fleet.load.length = seconds * SECOND;
     fleet
 }
 
-/// A fleet of many limiters, through many of which each customer comes.
-fn large(seconds: u64, workers: u32, limiters: u32, rate: f64) -> Fleet {
-    let mut fleet = sample(seconds).with_backends(workers).with_limiters(limiters);
+/// A fleet of many limiters in which each customer's requests arrive through at least half of them.
+fn large(seconds: u64, backends: u32, limiters: u32, rate: f64) -> Fleet {
+    let mut fleet = sample(seconds).with_backends(backends).with_limiters(limiters);
     for plan in &mut fleet.plans {
         plan.spread = (limiters / 2, limiters);
     }
@@ -48,21 +48,22 @@
 }
 
 pub fn all() -> Vec<ModelRun> {
-    let crowded = {
+    let overloaded = {
         let mut fleet = sample(12);
         fleet.load.rate *= 2.5;
         fleet
     };
-    let mut tenth = sample(16);
-    tenth.plans[2].rate /= 10.0;
-    tenth.classes[0].latency_objective *= 2;
+    let mut reduced = sample(16);
+    reduced.plans[2].rate /= 10.0;
+    reduced.classes[0].latency_objective *= 2;
     let changes = vec![
-        RulesChange { at: 5 * SECOND, rules: tenth },
+        RulesChange { at: 5 * SECOND, rules: reduced },
         RulesChange { at: 10 * SECOND, rules: sample(16) },
     ];
     let counter_lost = Fault::CounterLost { at: 3 * SECOND, span: 4 * SECOND };
-    let workers_die = Fault::BackendsCrash { at: 3 * SECOND, span: 4 * SECOND, share: 0.3 };
-    let room = |silent| Fault::ZoneLost { at: 2 * SECOND, span: 4 * SECOND, zone: 1, limiters: true, silent };
+    let backends_crash = Fault::BackendsCrash { at: 3 * SECOND, span: 4 * SECOND, share: 0.3 };
+    let zone_lost =
+        |silent| Fault::ZoneLost { at: 2 * SECOND, span: 4 * SECOND, zone: 1, limiters: true, silent };
     let run = |name, seed, checkpoint_every, fleet| ModelRun {
         name,
         seed,
@@ -73,14 +74,14 @@
     };
     vec![
         ModelRun { changes, ..run("model-rules", 201, 500, sample(16)) },
-        ModelRun { faults: vec![counter_lost], ..run("model-crowded-counter-lost", 202, 1_000, crowded) },
-        ModelRun { faults: vec![room(false)], ..run("model-room-lost", 203, 500, sample(12)) },
+        ModelRun { faults: vec![counter_lost], ..run("model-crowded-counter-lost", 202, 1_000, overloaded) },
+        ModelRun { faults: vec![zone_lost(false)], ..run("model-room-lost", 203, 500, sample(12)) },
         ModelRun {
-            faults: vec![workers_die],
+            faults: vec![backends_crash],
             ..run("model-thirty-workers-die", 204, 1_000, large(12, 30, 30, 220.0))
         },
         ModelRun {
-            faults: vec![room(true), counter_lost],
+            faults: vec![zone_lost(true), counter_lost],
             ..run("model-hundred-silent-room", 205, 2_000, large(8, 60, 100, 440.0))
         },
         run("model-three-hundred", 206, 2_000, large(5, 60, 300, 600.0)),
--- a/tests/decisions/recording.rs
+++ b/tests/decisions/recording.rs
@@ -1,13 +1,14 @@
-//! What is kept of a run: a line for each checkpoint and one for the whole, and where two recordings part.
+//! Recordings: a line for each checkpoint of a run and one for the whole run, and the comparison of two
+//! recordings.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use sedgestack::{Action, Micros, SettingsError, VersionIndices};
 
-use crate::digest::{kind, Digest, KIND_NAMES};
+use crate::digest::{action_kind, Digest, KIND_NAMES};
 
-/// Takes in the steps of a run.
+/// Records the steps of a run.
 pub struct Recorder {
     run: &'static str,
     checkpoint_every: u64,
@@ -35,16 +36,22 @@
         self.steps
     }
 
-    /// A call of a gateway's decisions, and its members afterwards where they can be asked for.
-    pub fn step(&mut self, gateway: u32, now: Micros, actions: &[Action], members: Option<(usize, usize)>) {
-        self.digest.number(u64::from(gateway));
+    /// Records a call of a limiter and its backend counts afterwards, if available.
+    pub fn step(
+        &mut self,
+        limiter: u32,
+        now: Micros,
+        actions: &[Action],
+        backend_counts: Option<(usize, usize)>,
+    ) {
+        self.digest.number(u64::from(limiter));
         self.digest.number(now);
         self.digest.size(actions.len());
         for action in actions {
             self.digest.action(action);
-            self.counts[kind(action) as usize] += 1;
+            self.counts[action_kind(action) as usize] += 1;
         }
-        if let Some((listed, avoided)) = members {
+        if let Some((listed, avoided)) = backend_counts {
             self.digest.size(listed);
             self.digest.size(avoided);
         }
@@ -56,36 +63,38 @@
         }
     }
 
-    /// A version of the rules was adopted or rejected.
-    pub fn adopted(&mut self, adopted: &Result<VersionIndices, SettingsError>) {
-        self.digest.adopted(adopted);
+    /// Records the result of adopting a version.
+    pub fn adopted(&mut self, adoption: &Result<VersionIndices, SettingsError>) {
+        self.digest.adoption(adoption);
     }
 
-    /// Old versions were forgotten: whether all of them, and how many places are left.
-    pub fn forgot(&mut self, all: bool, (classes, plans): (usize, usize)) {
-        self.digest.tag(u8::from(all));
+    /// Records the retirement of old versions: whether all of them were freed, and how many classes and plans
+    /// are left.
+    pub fn retired(&mut self, all_retired: bool, (classes, plans): (usize, usize)) {
+        self.digest.tag(u8::from(all_retired));
         self.digest.size(classes);
         self.digest.size(plans);
     }
 
     pub fn finish(mut self) -> Recording {
         let mut line = format!("{} whole {:016x}", self.run, self.digest.value());
-        write!(line, " steps={} actions={}", self.steps, self.actions).expect("a string takes all");
+        write!(line, " steps={} actions={}", self.steps, self.actions)
+            .expect("writing to a String cannot fail");
         for (name, count) in KIND_NAMES.iter().zip(self.counts) {
-            write!(line, " {name}={count}").expect("a string takes all");
+            write!(line, " {name}={count}").expect("writing to a String cannot fail");
         }
         self.lines.push(line);
         Recording { lines: self.lines, counts: self.counts }
     }
 }
 
-/// What a run left: its checkpoints, and how many actions of each kind there were.
+/// The result of a run: its checkpoints, and the number of actions of each kind.
 pub struct Recording {
     pub lines: Vec<String>,
     pub counts: [u64; KIND_NAMES.len()],
 }
 
-/// Lines by the run that they belong to.
+/// Groups lines by the run that they belong to.
 fn by_run<'a>(lines: impl Iterator<Item = &'a str>) -> BTreeMap<&'a str, Vec<&'a str>> {
     let mut runs: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for line in lines {
@@ -95,25 +104,25 @@
     runs
 }
 
-/// For each run that is not as recorded, the first checkpoint at which it parts.
+/// Returns the first differing checkpoint of each run that differs from the recording.
 pub fn differences(recorded: &str, found: &str) -> Vec<String> {
     let (recorded, found) = (by_run(recorded.lines()), by_run(found.lines()));
     let runs: std::collections::BTreeSet<&str> = recorded.keys().chain(found.keys()).copied().collect();
-    let mut told = Vec::new();
+    let mut reports = Vec::new();
     for run in runs {
         let lines = |of: &BTreeMap<&str, Vec<&str>>| -> Vec<String> {
             of.get(run).into_iter().flatten().map(std::string::ToString::to_string).collect()
         };
         let (recorded, found) = (lines(&recorded), lines(&found));
-        let longest = recorded.len().max(found.len());
-        if let Some(first) = (0..longest).find(|n| recorded.get(*n) != found.get(*n)) {
+        let max_lines = recorded.len().max(found.len());
+        if let Some(first) = (0..max_lines).find(|n| recorded.get(*n) != found.get(*n)) {
             let or_none = |line: Option<&String>| line.map_or("nothing".into(), String::clone);
-            let (was, is) = (or_none(recorded.get(first)), or_none(found.get(first)));
-            told.push(format!(
-                "{run}: checkpoint {} of {longest}\n  recorded {was}\n  found    {is}",
+            let (recorded_line, found_line) = (or_none(recorded.get(first)), or_none(found.get(first)));
+            reports.push(format!(
+                "{run}: checkpoint {} of {max_lines}\n  recorded {recorded_line}\n  found    {found_line}",
                 first + 1
             ));
         }
     }
-    told
+    reports
 }
--- a/tests/decisions/runs.rs
+++ b/tests/decisions/runs.rs
@@ -1,44 +1,45 @@
-//! The matrix of settings under which the driver plays gateways.
+//! The settings under which the driver plays limiters.
 
 use sedgestack::{Class, Discovery, Idempotency, KeyScope, Micros, Plan, Settings, SlowStart};
 
 use crate::backends::MILLISECOND;
-use crate::counter::CounterCare;
+use crate::counter::CounterBehavior;
 
 const SECOND: Micros = 1_000 * MILLISECOND;
-/// Gateways that are played at most: of hundreds a few tell enough.
-const MOST_PLAYED: u32 = 5;
-/// How many times longer all spans of a stretched run are.
-const STRETCH: u64 = 1_000_000_007;
-/// Rates and bursts of starved runs, as parts of the usual ones.
-const STARVED_RATE: f64 = 1e-9;
-const STARVED_BURST: f64 = 3.0;
-const ASK_EVERY: Micros = 2 * SECOND;
+/// Maximum number of limiters that are simulated: of hundreds, a few are representative.
+const MAX_SIMULATED: u32 = 5;
+/// Factor on all durations of a run with scaled time.
+const TIME_SCALE: u64 = 1_000_000_007;
+/// Factors on the rates and bursts of a run with starved quotas.
+const STARVED_RATE_FACTOR: f64 = 1e-9;
+const STARVED_BURST_FACTOR: f64 = 3.0;
+const POLL_INTERVAL: Micros = 2 * SECOND;
 
 /// A run of the driver.
 pub struct Run {
     pub name: &'static str,
     pub seed: u64,
     pub steps: u64,
-    /// Microseconds of the gateways' clock for one of the driver's; the settings have the gateways'.
+    /// Microseconds of the limiters' clock per microsecond of the driver's clock; the settings use the
+    /// limiters' clock.
     pub scale: u64,
     pub settings: Settings,
-    /// Gateways that are played, the first of all that the settings count.
-    pub played: u32,
+    /// Number of limiters that are simulated, the first of all limiters in the settings.
+    pub simulated: u32,
     pub backends: usize,
-    /// Attempts that a backend serves at once without a line.
+    /// Number of attempts that a backend serves at once without a queue.
     pub slots: usize,
-    /// Mean time from one request to the next, over all gateways played.
-    pub gap: Micros,
-    /// Mean time that an idle backend takes for a unit.
-    pub service: Micros,
-    /// Share of attempts that end in some trouble.
-    pub trouble: f64,
-    pub counter: CounterCare,
-    /// Mean times from one change to the next; none where nothing changes.
-    pub list_change: Option<Micros>,
-    pub cordon: Option<Micros>,
-    pub rules_change: Option<Micros>,
+    /// Mean time between requests, over all simulated limiters.
+    pub arrival_interval: Micros,
+    /// Mean time that an idle backend takes for one unit.
+    pub service_time: Micros,
+    /// Share of attempts that fail in some way.
+    pub failure_share: f64,
+    pub counter: CounterBehavior,
+    /// Mean times between changes; `None` for no changes.
+    pub list_change_interval: Option<Micros>,
+    pub cordon_interval: Option<Micros>,
+    pub version_change_interval: Option<Micros>,
 }
 
 fn class(name: &str, priority_weight: f64, latency_objective: Micros, idempotency: Idempotency) -> Class {
@@ -105,102 +106,109 @@
     }
 }
 
-fn asked(settings: Settings) -> Settings {
-    Settings { discovery: Discovery::Poll { interval: ASK_EVERY }, ..settings }
+fn polled(settings: Settings) -> Settings {
+    Settings { discovery: Discovery::Poll { interval: POLL_INTERVAL }, ..settings }
 }
 
-fn run(name: &'static str, seed: u64, gateways: u32, counter: bool) -> Run {
+fn run(name: &'static str, seed: u64, limiters: u32, counter: bool) -> Run {
     Run {
         name,
         seed,
         steps: 19_200,
         scale: 1,
-        settings: settings(gateways, counter),
-        played: gateways.min(MOST_PLAYED),
+        settings: settings(limiters, counter),
+        simulated: limiters.min(MAX_SIMULATED),
         backends: 9,
         slots: 6,
-        gap: 6 * MILLISECOND,
-        service: 14 * MILLISECOND,
-        trouble: 0.04,
-        counter: CounterCare { loss: 0.01, outages: false, others: 0.3 },
-        list_change: Some(SECOND),
-        cordon: Some(3 * SECOND),
-        rules_change: None,
+        arrival_interval: 6 * MILLISECOND,
+        service_time: 14 * MILLISECOND,
+        failure_share: 0.04,
+        counter: CounterBehavior { loss_share: 0.01, has_outages: false, others_per_unit: 0.3 },
+        list_change_interval: Some(SECOND),
+        cordon_interval: Some(3 * SECOND),
+        version_change_interval: None,
     }
 }
 
-/// Far more than the backends can serve.
+/// Sends far more requests than the backends can serve.
 fn overloaded(run: Run) -> Run {
-    Run { backends: 4, slots: 3, gap: 2 * MILLISECOND, service: 25 * MILLISECOND, ..run }
+    Run { backends: 4, slots: 3, arrival_interval: 2 * MILLISECOND, service_time: 25 * MILLISECOND, ..run }
 }
 
-/// Backends that are slow for the gateways which use them, out of a fleet of many.
-fn crowded(run: Run) -> Run {
-    Run { slots: 1, gap: 2 * MILLISECOND, service: 30 * MILLISECOND, ..wide(run) }
+/// Uses many backends, which are slow for the limiters that use them.
+fn with_slow_backends(run: Run) -> Run {
+    Run {
+        slots: 1,
+        arrival_interval: 2 * MILLISECOND,
+        service_time: 30 * MILLISECOND,
+        ..with_many_backends(run)
+    }
 }
 
-fn settled(run: Run) -> Run {
+fn with_actual_costs(run: Run) -> Run {
     Run { settings: Settings { actual_cost_reported: true, ..run.settings }, ..run }
 }
 
-fn with_asked_lists(run: Run) -> Run {
-    Run { settings: asked(run.settings), ..run }
+fn with_polled_discovery(run: Run) -> Run {
+    Run { settings: polled(run.settings), ..run }
 }
 
-fn with_rules_changing(run: Run) -> Run {
-    Run { rules_change: Some(1_500 * MILLISECOND), ..run }
+fn with_version_changes(run: Run) -> Run {
+    Run { version_change_interval: Some(1_500 * MILLISECOND), ..run }
 }
 
 fn with_many_cordons(run: Run) -> Run {
-    Run { cordon: Some(60 * MILLISECOND), ..run }
+    Run { cordon_interval: Some(60 * MILLISECOND), ..run }
 }
 
 fn with_outages(run: Run) -> Run {
-    Run { counter: CounterCare { loss: 0.05, outages: true, others: 1.0 }, ..run }
+    Run { counter: CounterBehavior { loss_share: 0.05, has_outages: true, others_per_unit: 1.0 }, ..run }
 }
 
-fn with_trouble(run: Run) -> Run {
-    Run { trouble: 0.3, list_change: Some(200 * MILLISECOND), ..run }
+fn with_failures(run: Run) -> Run {
+    Run { failure_share: 0.3, list_change_interval: Some(200 * MILLISECOND), ..run }
 }
 
-/// A few requests a second: the long memories come to bear.
-fn slowly(run: Run) -> Run {
-    Run { gap: 40 * MILLISECOND, ..run }
+/// Sends only a few requests per second, so that long time constants take effect.
+fn with_low_load(run: Run) -> Run {
+    Run { arrival_interval: 40 * MILLISECOND, ..run }
 }
 
-/// A fleet of backends large enough that a gateway uses only a part of it.
-fn wide(run: Run) -> Run {
-    Run { backends: 48, slots: 4, gap: 3 * MILLISECOND, ..run }
+/// Uses so many backends that a limiter uses only a subset of them.
+fn with_many_backends(run: Run) -> Run {
+    Run { backends: 48, slots: 4, arrival_interval: 3 * MILLISECOND, ..run }
 }
 
-/// Spans so long that all bits of the figures behind them show when they are cut to whole microseconds.
-fn stretched(run: Run) -> Run {
+/// Lengthens all durations so that all bits of the underlying numbers show when they are rounded to
+/// microseconds.
+fn with_scaled_time(run: Run) -> Run {
     let mut settings = run.settings;
     for class in &mut settings.classes {
-        class.latency_objective *= STRETCH;
+        class.latency_objective *= TIME_SCALE;
         if let Idempotency::IdempotencyKey { window, .. } = &mut class.idempotency {
-            *window *= STRETCH;
+            *window *= TIME_SCALE;
         }
     }
     for plan in &mut settings.plans {
-        plan.rate /= STRETCH as f64;
-        plan.ceiling_rate /= STRETCH as f64;
+        plan.rate /= TIME_SCALE as f64;
+        plan.ceiling_rate /= TIME_SCALE as f64;
     }
-    settings.tick *= STRETCH;
-    settings.slow_start.duration *= STRETCH;
-    settings.slow_start.overload_window *= STRETCH;
-    settings.max_retry_after *= STRETCH;
-    Run { scale: STRETCH, settings, ..run }
+    settings.tick *= TIME_SCALE;
+    settings.slow_start.duration *= TIME_SCALE;
+    settings.slow_start.overload_window *= TIME_SCALE;
+    settings.max_retry_after *= TIME_SCALE;
+    Run { scale: TIME_SCALE, settings, ..run }
 }
 
-/// Quotas that hardly refill, and a retry-after without an end: it tells all bits of what a customer lacks.
-fn starved(run: Run) -> Run {
+/// Makes quotas refill hardly at all and removes the maximum retry-after, which then shows all bits of what a
+/// customer lacks.
+fn with_starved_quotas(run: Run) -> Run {
     let mut settings = run.settings;
     for plan in &mut settings.plans {
-        plan.rate *= STARVED_RATE;
-        plan.ceiling_rate *= STARVED_RATE;
-        plan.burst *= STARVED_BURST;
-        plan.ceiling_burst *= STARVED_BURST;
+        plan.rate *= STARVED_RATE_FACTOR;
+        plan.ceiling_rate *= STARVED_RATE_FACTOR;
+        plan.burst *= STARVED_BURST_FACTOR;
+        plan.ceiling_burst *= STARVED_BURST_FACTOR;
     }
     settings.max_retry_after = Micros::MAX;
     Run { settings, ..run }
@@ -209,29 +217,34 @@
 pub fn all() -> Vec<Run> {
     vec![
         run("one-alone", 101, 1, false),
-        with_asked_lists(run("one-asked-counter", 102, 1, true)),
+        with_polled_discovery(run("one-asked-counter", 102, 1, true)),
         run("three-counter", 103, 3, true),
-        with_asked_lists(run("three-asked", 104, 3, false)),
-        with_rules_changing(run("three-rules", 105, 3, true)),
+        with_polled_discovery(run("three-asked", 104, 3, false)),
+        with_version_changes(run("three-rules", 105, 3, true)),
         overloaded(run("three-overload", 106, 3, true)),
-        slowly(run("four-slow", 107, 4, true)),
+        with_low_load(run("four-slow", 107, 4, true)),
         with_outages(run("four-outages", 108, 4, true)),
-        settled(with_many_cordons(run("four-settles-cordons", 109, 4, true))),
-        with_trouble(run("four-trouble", 110, 4, false)),
+        with_actual_costs(with_many_cordons(run("four-settles-cordons", 109, 4, true))),
+        with_failures(run("four-trouble", 110, 4, false)),
         run("five-counter", 111, 5, true),
-        with_asked_lists(with_trouble(run("five-asked-trouble", 112, 5, true))),
-        with_rules_changing(settled(run("five-settles-rules", 113, 5, true))),
-        crowded(run("thirty-overload", 114, 30, true)),
-        with_outages(wide(run("thirty-outages", 115, 30, true))),
-        slowly(wide(run("thirty-slow", 116, 30, true))),
-        with_many_cordons(wide(run("thirty-cordons", 117, 30, false))),
-        wide(run("three-hundred", 118, 300, true)),
-        with_rules_changing(crowded(run("three-hundred-overload-rules", 119, 300, true))),
-        with_asked_lists(settled(with_trouble(wide(run("three-hundred-asked-trouble", 120, 300, true))))),
-        stretched(run("three-stretched", 121, 3, true)),
-        stretched(wide(run("thirty-stretched", 122, 30, true))),
-        starved(run("three-starved", 123, 3, true)),
-        starved(settled(run("four-starved-alone", 124, 4, false))),
-        starved(wide(run("thirty-starved", 125, 30, true))),
+        with_polled_discovery(with_failures(run("five-asked-trouble", 112, 5, true))),
+        with_version_changes(with_actual_costs(run("five-settles-rules", 113, 5, true))),
+        with_slow_backends(run("thirty-overload", 114, 30, true)),
+        with_outages(with_many_backends(run("thirty-outages", 115, 30, true))),
+        with_low_load(with_many_backends(run("thirty-slow", 116, 30, true))),
+        with_many_cordons(with_many_backends(run("thirty-cordons", 117, 30, false))),
+        with_many_backends(run("three-hundred", 118, 300, true)),
+        with_version_changes(with_slow_backends(run("three-hundred-overload-rules", 119, 300, true))),
+        with_polled_discovery(with_actual_costs(with_failures(with_many_backends(run(
+            "three-hundred-asked-trouble",
+            120,
+            300,
+            true,
+        ))))),
+        with_scaled_time(run("three-stretched", 121, 3, true)),
+        with_scaled_time(with_many_backends(run("thirty-stretched", 122, 30, true))),
+        with_starved_quotas(run("three-starved", 123, 3, true)),
+        with_starved_quotas(with_actual_costs(run("four-starved-alone", 124, 4, false))),
+        with_starved_quotas(with_many_backends(run("thirty-starved", 125, 30, true))),
     ]
 }
