--- a/src/decision/backends.rs
+++ b/src/decision/backends.rs
@@ -60,7 +60,7 @@
 impl BackendTable {
     /// Applies an endpoint list: all endpoints if `complete`, otherwise those that changed. Returns false and
     /// changes nothing if the list is older than the newest one.
-    fn update(&mut self, version: u64, complete: bool, endpoints: &[Endpoint], limit: f64) -> bool {
+    fn update(&mut self, version: u64, complete: bool, endpoints: &[Endpoint], initial_limit: f64) -> bool {
         if self.version.is_some_and(|newest| version < newest) {
             return false;
         }
@@ -69,7 +69,7 @@
             self.mark_missing(endpoints);
         }
         for endpoint in endpoints {
-            self.update_endpoint(endpoint, limit);
+            self.update_endpoint(endpoint, initial_limit);
         }
         self.entries.retain(|_, b| b.state != BackendState::Gone || !b.in_flight.is_empty());
         true
@@ -81,11 +81,11 @@
         missing.for_each(|(_, backend)| backend.state = BackendState::Gone);
     }
 
-    fn update_endpoint(&mut self, endpoint: &Endpoint, limit: f64) {
+    fn update_endpoint(&mut self, endpoint: &Endpoint, initial_limit: f64) {
         let bytes = endpoint.backend.bytes();
         let hash = bytes.fold(0, |hash, byte| mix_bits(hash ^ u64::from(byte)).wrapping_add(1));
         let started_at = endpoint.started_at;
-        let health = BackendHealth::new(limit);
+        let health = BackendHealth::new(initial_limit);
         let fresh = Backend { hash, started_at, health, ..Backend::default() };
         let backend = match self.entries.entry(endpoint.backend.clone()) {
             Entry::Vacant(vacant) => vacant.insert(fresh),
@@ -109,8 +109,8 @@
 impl Limiter {
     /// Handles an endpoint list from service discovery.
     pub(super) fn on_endpoints_changed(&mut self, version: u64, complete: bool, endpoints: &[Endpoint]) {
-        let limit = (INITIAL_LIMIT / self.settings.limiters as f64).max(1.0);
-        if self.backends.update(version, complete, endpoints, limit) {
+        let initial_limit = (INITIAL_LIMIT / self.settings.limiters as f64).max(1.0);
+        if self.backends.update(version, complete, endpoints, initial_limit) {
             self.choose_subset();
         }
     }
--- a/src/decision/concurrency.rs
+++ b/src/decision/concurrency.rs
@@ -26,8 +26,9 @@
     reserved: u32,
     /// Amounts of the calls in flight, oldest first; a positive amount requests a permit.
     calls: VecDeque<f64>,
-    /// Amount, zero or negative, that failed calls did not return; it is added to the next call.
-    unreturned: f64,
+    /// Amount that is added to the next call: permits that a failed call did not give back (negative), or
+    /// permits of this limiter that the counter lost (positive).
+    correction: f64,
     /// Consecutive denials.
     denials: u32,
     /// Earliest time of the next request for a permit after a denial.
@@ -69,8 +70,8 @@
 
 impl Limiter {
     /// Whether a customer may have one more attempt in flight. In few-limiters mode with a shared concurrency
-    /// limit, a permit is taken on the counter before the attempt is sent, and returned when no attempt needs
-    /// it.
+    /// limit, a permit is taken on the counter before the attempt is sent, and given back when no attempt
+    /// needs it.
     pub(super) fn acquire_permit(&mut self, customer: CustomerId) -> bool {
         let has_counter = self.has_counter();
         let Some(c) = self.customers.get_mut(&customer) else { return false };
@@ -94,27 +95,28 @@
         let name = counter_name(customer, PERMIT_WINDOW);
         let Some(c) = self.customers.get_mut(&customer) else { return };
         c.permits.calls.push_back(amount);
-        let amount = amount + std::mem::take(&mut c.permits.unreturned);
+        let amount = amount + std::mem::take(&mut c.permits.correction);
         self.counter_names.insert(name, customer);
         self.actions.push(Action::CallCounter { name, amount, time_to_live: PERMIT_TIME_TO_LIVE });
     }
 
     /// Handles the counter's reply to a permit call: keeps the permit if the total is within the limit,
-    /// otherwise returns it.
+    /// otherwise gives it back.
     pub(super) fn on_permit_reply(&mut self, customer: CustomerId, outcome: Outcome, total: Option<f64>) {
         let Some(c) = self.customers.get_mut(&customer) else { return };
         let permits = &mut c.permits;
         let Some(amount) = permits.calls.pop_front() else { return };
         let Some(total) = total.filter(|_| outcome == Outcome::Ok) else {
-            permits.unreturned += if outcome == Outcome::TimedOut { 0.0 } else { amount.min(0.0) };
+            permits.correction += if outcome == Outcome::TimedOut { 0.0 } else { amount.min(0.0) };
             self.on_counter_failure();
             return self.join_rotation(customer);
         };
         if amount < 0.0 {
             return;
         }
-        // A total below the permits that this limiter holds means that the counter lost its counts.
-        permits.unreturned += (f64::from(permits.reserved) + 1.0 - total).max(0.0);
+        // A total below the permits that this limiter holds means that the counter lost its counts; the next
+        // call restores them.
+        permits.correction += (f64::from(permits.reserved) + 1.0 - total).max(0.0);
         if total <= f64::from(self.settings.plans[c.plan].concurrency_limit) {
             permits.grant();
             return self.join_rotation(customer);
@@ -124,7 +126,7 @@
         self.timers.schedule(retry_at, TimerKind::JoinRotation(customer));
     }
 
-    /// Returns permits that no attempt and no queued request needs.
+    /// Gives back the permits that no attempt or queued request needs.
     pub(super) fn return_spare_permits(&mut self, customer: CustomerId) {
         let Some(c) = self.customers.get_mut(&customer) else { return };
         let queued = c.queues.iter().map(|queue| queue.requests.len() as u32).sum::<u32>();
--- a/src/decision/customers.rs
+++ b/src/decision/customers.rs
@@ -9,7 +9,7 @@
 use super::SECOND;
 use crate::interface::{Micros, Request, RequestId};
 
-/// Part of a concurrency limit that is left unused because arrivals are random, in square roots of the limit.
+/// Margin below a concurrency limit for random arrivals, as a multiple of the square root of the limit.
 const CONCURRENCY_SLACK: f64 = 0.8;
 /// Time without activity after which a customer is dropped: longer than a burst takes to refill.
 const IDLE_TIMEOUT: Micros = 20_000_000;
--- a/src/decision/demand.rs
+++ b/src/decision/demand.rs
@@ -6,11 +6,11 @@
 use super::SECOND;
 use crate::interface::Micros;
 
-/// Time constant of the demand rates, microseconds: a few readings, but shorter than the time in which demand
-/// shifts.
-const DEMAND_MEMORY: f64 = 2.0 * SECOND;
-/// Share of its quota that a customer is assumed to use until a window has enough usage to tell: well under
-/// it.
+/// Time constant of the demand rates, in microseconds: a few readings, but shorter than the time in which
+/// demand shifts.
+const DEMAND_DECAY_TIME: f64 = 2.0 * SECOND;
+/// Share of the quota that a customer is assumed to use before a window shows its usage: clearly below the
+/// full quota.
 const INITIAL_USE: f64 = 0.8;
 /// If at least this share of the quota was unused in a window, the bucket is assumed to have been full when
 /// the window began; if none was unused, it is assumed to have been empty.
@@ -93,10 +93,10 @@
 
     fn update_rates(&mut self, usage: &ObservedUsage) {
         let others = (usage.units - self.reported).max(0.0);
-        let keep = (-usage.observed / DEMAND_MEMORY).exp();
-        let rate = |units: f64| units / usage.span * SECOND * (1.0 - keep);
-        self.own_rate = self.own_rate * keep + rate(self.reported);
-        self.others_rate = self.others_rate * keep + rate(others);
+        let decay = (-usage.observed / DEMAND_DECAY_TIME).exp();
+        let rate = |units: f64| units / usage.span * SECOND * (1.0 - decay);
+        self.own_rate = self.own_rate * decay + rate(self.reported);
+        self.others_rate = self.others_rate * decay + rate(others);
     }
 }
 
--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -20,9 +20,9 @@
     Action, Class, CounterName, CustomerId, Discovery, Event, Micros, RequestId, Settings, SettingsError,
 };
 
-/// Largest number of limiters that runs in few-limiters mode. With more, each limiter sees too little of
-/// single backends and customers, so it uses pacing, turns concurrency limits into rates, and queries the
-/// quota counter before it sends.
+/// Maximum number of limiters in few-limiters mode. With more, in many-limiters mode, each limiter sees too
+/// little of single backends and customers, so it uses pacing, turns concurrency limits into rates, and
+/// queries the quota counter before it sends.
 const FEW_LIMITERS: u32 = 4;
 /// A failed discovery call is retried after one to two times the polling interval divided by this.
 const DISCOVERY_RETRY_DIVISOR: u64 = 8;
--- a/src/decision/latencies.rs
+++ b/src/decision/latencies.rs
@@ -30,15 +30,15 @@
 }
 
 impl Latencies {
-    pub(super) fn new(classes: &[Class], tightest_objective: Micros) -> Latencies {
-        let guess = |class: &Class| {
+    pub(super) fn new(classes: &[Class], shortest_objective: Micros) -> Latencies {
+        let estimate = |class: &Class| {
             let idle = class.latency_objective as f64 * INITIAL_SHARE;
             ClassLatency { mean: idle, idle }
         };
         Latencies {
-            classes: classes.iter().map(guess).collect(),
+            classes: classes.iter().map(estimate).collect(),
             headroom: 1.0 / INITIAL_SHARE,
-            mean: tightest_objective as f64 * INITIAL_SHARE,
+            mean: shortest_objective as f64 * INITIAL_SHARE,
         }
     }
 
--- a/src/decision/load.rs
+++ b/src/decision/load.rs
@@ -5,9 +5,9 @@
 use crate::interface::{BackendState, Micros};
 
 /// Interval of the load measurement.
-const MEASURE_EVERY: Micros = 500_000;
+const MEASUREMENT_INTERVAL: Micros = 500_000;
 /// Time constant of the usual load of a warm backend, microseconds.
-const LOAD_MEMORY: f64 = 10.0 * SECOND;
+const LOAD_DECAY_TIME: f64 = 10.0 * SECOND;
 /// Weight of the newest measurement of this limiter's own sends.
 const RATE_WEIGHT: f64 = 0.3;
 
@@ -49,14 +49,14 @@
     /// Returns the time since the last measurement if another one is due.
     fn due_span(&self, now: Micros) -> Option<Micros> {
         let span = now.saturating_sub(self.measured_at);
-        (span >= MEASURE_EVERY).then_some(span)
+        (span >= MEASUREMENT_INTERVAL).then_some(span)
     }
 
     fn measure(&mut self, capacity: f64, span: Micros, now: Micros) {
         let span = span as f64;
         let load_per_backend = self.answers / span * SECOND / capacity;
-        let keep = (-span / LOAD_MEMORY).exp();
-        self.load_per_backend = self.load_per_backend * keep + load_per_backend * (1.0 - keep);
+        let decay = (-span / LOAD_DECAY_TIME).exp();
+        self.load_per_backend = self.load_per_backend * decay + load_per_backend * (1.0 - decay);
         let weight = if self.attempt_rate > 0.0 { RATE_WEIGHT } else { 1.0 };
         self.attempt_rate += (self.attempts / span * SECOND - self.attempt_rate) * weight;
         self.mean_in_flight += (self.attempt_micros / span - self.mean_in_flight) * weight;
--- a/src/decision/outlier.rs
+++ b/src/decision/outlier.rs
@@ -20,7 +20,7 @@
 /// cooldown.
 pub(super) const MAX_COOLDOWN_DOUBLINGS: u32 = 4;
 /// Time constant in microseconds with which slowness fades, so that a backend that was slow is tried again.
-const SLOWNESS_MEMORY: f64 = 8.0 * SECOND;
+const SLOWNESS_DECAY_TIME: f64 = 8.0 * SECOND;
 /// Age of the oldest unanswered attempt, in idle latencies, per unit of slowness.
 const SILENCE_PER_SLOWNESS: f64 = 3.0;
 
@@ -92,7 +92,7 @@
     /// Returns the slowness by answered latencies, which fades over time.
     fn remembered_slowness(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.last_latency_at) as f64;
-        1.0 + (self.slowness - 1.0) * (-age / SLOWNESS_MEMORY).exp()
+        1.0 + (self.slowness - 1.0) * (-age / SLOWNESS_DECAY_TIME).exp()
     }
 }
 
--- a/src/decision/pacing.rs
+++ b/src/decision/pacing.rs
@@ -12,7 +12,7 @@
 /// Weight of the newest latency in the pressure: it takes a dozen answers to tell load from chance.
 const PRESSURE_WEIGHT: f64 = 0.08;
 /// Time constant in microseconds with which old latencies fade: few answers arrive while little is sent.
-const PRESSURE_MEMORY: f64 = 3.0 * SECOND;
+const PRESSURE_DECAY_TIME: f64 = 3.0 * SECOND;
 
 /// Minimum of attempts in flight per backend, over all limiters, however full the backends look, as not all
 /// slowness comes from load. Pacing starts at this value.
@@ -36,7 +36,7 @@
 
 impl FleetFullness {
     pub(super) fn record(&mut self, pressure: f64, attempt_rate: f64, now: Micros) {
-        let elapsed = now.saturating_sub(self.last_attempt_at) as f64 / PRESSURE_MEMORY;
+        let elapsed = now.saturating_sub(self.last_attempt_at) as f64 / PRESSURE_DECAY_TIME;
         let weight = PRESSURE_WEIGHT.min(1.0 / attempt_rate.max(1.0)).max(1.0 - (-elapsed).exp());
         self.last_attempt_at = now;
         self.pressure += weight * (pressure.min(1.0) - self.pressure);
--- a/src/decision/rejections.rs
+++ b/src/decision/rejections.rs
@@ -21,28 +21,29 @@
         self.remove_request(id);
     }
 
-    /// Returns when a rejected request may be retried: once its customer's quota or ceiling is refilled, or
-    /// otherwise once the queue has drained at the recent rate, and not before the cooldown of a failed
-    /// attempt.
+    /// Returns how long the client should wait before it retries a rejected request: until its customer's
+    /// quota or ceiling is refilled, or otherwise until the queue has drained at the recent rate, and at
+    /// least the cooldown if an attempt was started.
     fn retry_after(&self, request: &PendingRequest) -> Micros {
         let Some(c) = self.customers.get(&request.customer) else { return 0 };
-        let refill = |level: f64, rate: f64| if rate > 0.0 { (request.units - level) / rate } else { 0.0 };
-        let quota = if request.is_prechecked {
-            refill(c.slice.shared_level, self.quota(c.plan).rate)
+        let refill_time =
+            |level: f64, rate: f64| if rate > 0.0 { (request.units - level) / rate } else { 0.0 };
+        let quota_wait = if request.is_prechecked {
+            refill_time(c.slice.shared_level, self.quota(c.plan).rate)
         } else if !request.has_quota {
-            refill(c.slice.bucket.level, c.slice.bucket.rate)
+            refill_time(c.slice.bucket.level, c.slice.bucket.rate)
         } else {
             0.0
         };
-        let refilled = quota.max(refill(c.ceiling.level, c.ceiling.rate));
+        let refill_wait = quota_wait.max(refill_time(c.ceiling.level, c.ceiling.rate));
         let queued = self.requests.len().saturating_sub(self.attempts.len()) as f64;
-        let drained = queued / self.load.attempt_rate.max(SECOND / self.cooldown as f64);
-        let wait = if refilled > 0.0 { refilled } else { drained } * SECOND;
+        let drain_wait = queued / self.load.attempt_rate.max(SECOND / self.cooldown as f64);
+        let wait = if refill_wait > 0.0 { refill_wait } else { drain_wait } * SECOND;
         let cooldown = if request.attempts > 0 { self.cooldown } else { 0 };
         (wait as Micros).max(cooldown).min(self.settings.max_retry_after)
     }
 
-    /// Removes a request and returns what it reserved.
+    /// Removes a request and releases what it reserved.
     pub(super) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         if let (0, Some(c)) = (request.in_flight, self.customers.get_mut(&request.customer)) {
--- a/src/decision/release_gate.rs
+++ b/src/decision/release_gate.rs
@@ -73,12 +73,13 @@
         };
         c.ceiling.refill(self.now);
         let request = &self.requests[&id];
-        let over_ceiling = c.ceiling.rate > 0.0 && request.attempts == 0 && c.ceiling.level < request.units;
+        let exceeds_ceiling =
+            c.ceiling.rate > 0.0 && request.attempts == 0 && c.ceiling.level < request.units;
         let exceeds_pacing = *allowance < TIER_RESERVE * tier as f64 * self.latencies.mean / SECOND;
-        let backend = if over_ceiling || exceeds_pacing { None } else { self.select_backend(id) };
+        let backend = if exceeds_ceiling || exceeds_pacing { None } else { self.select_backend(id) };
         let has_backend = backend.is_some();
-        if over_ceiling || (has_backend && !(self.acquire_quota(id) && self.acquire_permit(customer))) {
-            self.leave_rotation(customer, tier, id, over_ceiling);
+        if exceeds_ceiling || (has_backend && !(self.acquire_quota(id) && self.acquire_permit(customer))) {
+            self.leave_rotation(customer, tier, id, exceeds_ceiling);
             return Turn::LeftRotation;
         }
         let Some(backend) = backend else { return Turn::Blocked };
@@ -88,11 +89,11 @@
 
     /// Takes a customer out of a tier's rotation until the counter answers or one of its attempts ends. The
     /// customer rejoins at once if only this request was rejected and others are queued.
-    fn leave_rotation(&mut self, customer: CustomerId, tier: usize, id: RequestId, over_ceiling: bool) {
+    fn leave_rotation(&mut self, customer: CustomerId, tier: usize, id: RequestId, exceeds_ceiling: bool) {
         if let Some(c) = self.customers.get_mut(&customer) {
             c.queues[tier].in_rotation = false;
         }
-        if over_ceiling {
+        if exceeds_ceiling {
             self.reject(id);
         }
         if !self.requests.contains_key(&id) {
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -14,7 +14,7 @@
 /// Weight in the score of a backend's reported utilization relative to the mean, the time constant in
 /// microseconds with which a report fades, and the minimum of the resulting factor.
 const UTILIZATION_WEIGHT: f64 = 1.0;
-const UTILIZATION_MEMORY: f64 = 0.5 * SECOND;
+const UTILIZATION_DECAY_TIME: f64 = 0.5 * SECOND;
 const MIN_UTILIZATION_FACTOR: f64 = 0.2;
 /// Factor on the score of a backend in another zone. Crossing zones costs little, so a small advantage is
 /// enough.
@@ -40,7 +40,7 @@
     /// Returns how much busier than the mean the backend is, as a factor. It reflects what other limiters
     /// send, until the report is outdated.
     fn factor(&self, mean: f64, now: Micros) -> f64 {
-        let freshness = (-(now.saturating_sub(self.at) as f64) / UTILIZATION_MEMORY).exp();
+        let freshness = (-(now.saturating_sub(self.at) as f64) / UTILIZATION_DECAY_TIME).exp();
         (1.0 + UTILIZATION_WEIGHT * freshness * (self.value - mean)).max(MIN_UTILIZATION_FACTOR)
     }
 }
--- a/src/decision/settings_check.rs
+++ b/src/decision/settings_check.rs
@@ -19,7 +19,7 @@
     let slow_start = &settings.slow_start;
     let others = [slow_start.initial_share, slow_start.overload_multiple, settings.max_units];
     if others.into_iter().any(is_unusable) {
-        return Err(SettingsError::InvalidNumber("a slow-start value or max_units"));
+        return Err(SettingsError::InvalidNumber("a slow-start value or the maximum units"));
     }
     Ok(())
 }
--- a/src/decision/timers.rs
+++ b/src/decision/timers.rs
@@ -17,7 +17,7 @@
     JoinRotation(CustomerId),
     /// Queued requests may be ready to be released.
     Release,
-    /// Service discovery is due to be asked again.
+    /// Service discovery is due to be queried again.
     Subscribe,
 }
 
--- a/src/decision/usage_reports.rs
+++ b/src/decision/usage_reports.rs
@@ -13,7 +13,7 @@
 use crate::interface::{Action, CounterName, CustomerId, Micros, Outcome, RequestId};
 
 /// Maximum time between an attempt and the report of its usage.
-const REPORT_EVERY: Micros = 1_000_000;
+const REPORT_INTERVAL: Micros = 1_000_000;
 /// Usage is reported earlier once it exceeds this share of the slice, so that the counter is read as fast as
 /// the quota is used.
 const REPORT_SHARE: f64 = 0.3;
@@ -97,8 +97,8 @@
             self.report_usage(customer);
         } else if unreported != 0.0 {
             // Each customer reports at its own moment of the interval, to spread the calls to the counter.
-            let moment = now + (self.random.phase ^ counter_name(customer, 0)) % REPORT_EVERY;
-            let due = now + REPORT_EVERY - moment % REPORT_EVERY;
+            let moment = now + (self.random.phase ^ counter_name(customer, 0)) % REPORT_INTERVAL;
+            let due = now + REPORT_INTERVAL - moment % REPORT_INTERVAL;
             self.timers.schedule(due, TimerKind::UsageReport(customer));
         }
     }
@@ -197,9 +197,9 @@
         // refilled enough, the counter is asked again.
         let age = c.usage.demand.reading_age(self.now);
         let refilled = c.slice.shared_level + self.quota(c.plan).rate * age.unwrap_or(0) as f64 / SECOND;
-        let is_settled = c.slice.bucket.level >= request.units || refilled < request.units;
+        let is_decisive = c.slice.bucket.level >= request.units || refilled < request.units;
         let is_recent = age.is_some_and(|age| age < READING_LIFETIME);
-        let is_needed = !(is_recent && is_settled) && c.slice.is_limited();
+        let is_needed = !(is_recent && is_decisive) && c.slice.is_limited();
         let objective = self.settings.classes[request.class].latency_objective;
         let latest = request.arrived_at + (objective as f64 * self.precheck_rejection_share) as Micros;
         let may_precheck = self.many_limiters && self.has_counter() && is_needed;
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -111,7 +111,7 @@
         /// The request that its client gave up or that ran out of time.
         request: RequestId,
     },
-    /// A health check that [`Action::HealthCheck`](super::Action::HealthCheck) asked for ended.
+    /// A health check requested by [`Action::HealthCheck`](super::Action::HealthCheck) ended.
     HealthCheckEnded {
         /// The backend that was checked.
         backend: BackendId,
@@ -138,7 +138,7 @@
         /// Content of the message.
         bytes: Vec<u8>,
     },
-    /// A timer asked for by [`Action::SetTimer`](super::Action::SetTimer) is due.
+    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) is due.
     Timer,
 }
 
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a limiter is told when it starts.
+//! The settings of a limiter.
 
 use super::Micros;
 
--- a/tests/decisions/driver.rs
+++ b/tests/decisions/driver.rs
@@ -103,10 +103,10 @@
     recorder: Recorder,
 }
 
-/// Plays a run to its last step.
-pub fn play(run: &Run) -> Recording {
+/// Executes a run to its last step.
+pub fn execute(run: &Run) -> Recording {
     let mut driver = Driver::new(run);
-    driver.begin();
+    driver.start();
     while driver.recorder.steps() < run.steps {
         let ((at, _), occurrence) = driver.queue.pop_first().expect("arrivals never stop");
         driver.now = at;
@@ -150,7 +150,7 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         for limiter in 0..self.limiters.len() {
             if self.run.settings.discovery == Discovery::Push {
                 self.limiters[limiter].subscribed = true;
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -32,12 +32,12 @@
 /// Environment variable that makes the test record the decisions anew.
 const RECORD_VARIABLE: &str = "RECORD_DECISIONS";
 
-/// Plays all runs, each on its own thread, and returns the recordings in the order of the runs.
-fn play_all() -> Vec<Recording> {
+/// Executes all runs, each on its own thread, and returns the recordings in the order of the runs.
+fn execute_all() -> Vec<Recording> {
     let (runs, model_runs) = (runs::all(), model::all());
     std::thread::scope(|scope| {
-        let driver_threads = runs.iter().map(|run| scope.spawn(|| driver::play(run)));
-        let model_threads = model_runs.iter().map(|run| scope.spawn(|| run.play()));
+        let driver_threads = runs.iter().map(|run| scope.spawn(|| driver::execute(run)));
+        let model_threads = model_runs.iter().map(|run| scope.spawn(|| run.execute()));
         let threads: Vec<_> = driver_threads.chain(model_threads).collect();
         threads.into_iter().map(|thread| thread.join().expect("the run completes")).collect()
     })
@@ -61,7 +61,7 @@
 
 #[test]
 fn decisions_match_recording() {
-    let recordings = play_all();
+    let recordings = execute_all();
     assert_covered(&recordings);
     let lines: Vec<&str> = recordings.iter().flat_map(|r| r.lines.iter().map(String::as_str)).collect();
     let found = lines.join("\n") + "\n";
--- a/tests/decisions/model.rs
+++ b/tests/decisions/model.rs
@@ -18,7 +18,7 @@
 }
 
 impl ModelRun {
-    pub fn play(&self) -> Recording {
+    pub fn execute(&self) -> Recording {
         let demand = demand::draw(&self.fleet, self.seed);
         let (faults, changes) = (self.faults.clone(), self.changes.clone());
         let scenario = Scenario { faults, changes, ..Scenario::new(&self.fleet, &demand) };
--- a/tests/decisions/runs.rs
+++ b/tests/decisions/runs.rs
@@ -1,4 +1,4 @@
-//! The settings under which the driver plays limiters.
+//! The settings under which the driver runs limiters.
 
 use sedgestack::{Class, Discovery, Idempotency, KeyScope, Micros, Plan, Settings, SlowStart};
 
