--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -6,7 +6,13 @@
 
 /// Sends `count` requests at `now`. Attempts started then, or when others end, have the outcome `end.0` after
 /// `end.1`. Returns the number of attempts started at once.
-fn round(limiter: &mut Limiter, now: Micros, first: RequestId, count: u64, end: (Outcome, Micros)) -> usize {
+fn send_round(
+    limiter: &mut Limiter,
+    now: Micros,
+    first: RequestId,
+    count: u64,
+    end: (Outcome, Micros),
+) -> usize {
     let events: Vec<Event> = (first..first + count).map(|id| request_event(id, 0, 0)).collect();
     let mut sent = started_attempts(&limiter.handle(now, &events));
     let (at_once, mut now) = (sent.len(), now);
@@ -50,18 +56,18 @@
 fn gate_closes_on_high_latency_and_reopens() {
     let mut limiter = new_limiter(settings(), 1);
     let (mut id, mut now) = (0, START);
-    let mut rate = |limiter: &mut Limiter, latency: Micros| {
+    let mut sent_at_latency = |limiter: &mut Limiter, latency: Micros| {
         let mut sent = 0;
         for _ in 0..60 {
             id += 4;
             now += 800 * MS;
-            sent = round(limiter, now, id, 4, (Outcome::Ok, latency));
+            sent = send_round(limiter, now, id, 4, (Outcome::Ok, latency));
         }
         sent
     };
-    assert_eq!(rate(&mut limiter, 20 * MS), 4);
-    assert!(rate(&mut limiter, 200 * MS) <= 2, "full: latency near the objective");
-    assert_eq!(rate(&mut limiter, 20 * MS), 4);
+    assert_eq!(sent_at_latency(&mut limiter, 20 * MS), 4);
+    assert!(sent_at_latency(&mut limiter, 200 * MS) <= 2, "full: latency near the objective");
+    assert_eq!(sent_at_latency(&mut limiter, 20 * MS), 4);
 }
 
 #[test]
@@ -71,7 +77,7 @@
     let (mut sent, mut id) = (0, 0);
     for step in 0..200 {
         id += 6;
-        let n = round(&mut limiter, START + step * 800 * MS, id, 6, (Outcome::Ok, 200 * MS));
+        let n = send_round(&mut limiter, START + step * 800 * MS, id, 6, (Outcome::Ok, 200 * MS));
         sent += if step >= 100 { n } else { 0 };
     }
     assert!(sent >= 250, "{sent} sent in 100 rounds to three backends");
@@ -108,9 +114,9 @@
     let mut last = 0;
     for step in 0..8 * 50u64 {
         let now = START + step * 20 * MS;
-        let (over_now, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|(at, _)| *at <= now);
+        let (ended, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|(at, _)| *at <= now);
         due = later;
-        let mut events: Vec<Event> = over_now.into_iter().map(|(_, e)| Event::AttemptEnded(e)).collect();
+        let mut events: Vec<Event> = ended.into_iter().map(|(_, e)| Event::AttemptEnded(e)).collect();
         if step % 8 == 0 {
             events.push(request_event(step, 2, 0));
         }
@@ -138,9 +144,9 @@
 fn timed_out_attempts_count_as_in_flight() {
     // An attempt that times out after 160 ms counts as 320 ms: if pacing allows less than one attempt in
     // flight, fewer are sent.
-    let given_up = sent_in_last_second(Some((Outcome::TimedOut, 160 * MS)));
+    let timed_out = sent_in_last_second(Some((Outcome::TimedOut, 160 * MS)));
     let answered = sent_in_last_second(Some((Outcome::Ok, 160 * MS)));
-    assert!(given_up < answered, "{given_up} sent after time-outs, {answered} after answers");
+    assert!(timed_out < answered, "{timed_out} sent after timeouts, {answered} after answers");
 }
 
 #[test]
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -165,8 +165,8 @@
     let at = START + 6_000 * MS;
     let outcome_after = |outcome: Outcome, total: f64| {
         let mut limiter = new_limiter(Settings { limiters: 100, ..settings() }, 4);
-        let one = Request { spread: 100, ..new_request(1, 0, 1) };
-        let prechecked = limiter.handle(at, &[Event::Request(one)]);
+        let request = Request { spread: 100, ..new_request(1, 0, 1) };
+        let prechecked = limiter.handle(at, &[Event::Request(request)]);
         let (name, amount) = counter_calls(&prechecked)[0];
         assert_eq!((started_attempts(&prechecked).len(), amount), (0, 1.0));
         let actions =
@@ -184,9 +184,9 @@
 #[test]
 fn counter_is_queried_only_for_sendable_requests() {
     let mut limiter = new_limiter(Settings { limiters: 100, ..settings() }, 0);
-    let one = Request { spread: 100, ..new_request(1, 2, 1) };
+    let request = Request { spread: 100, ..new_request(1, 2, 1) };
     assert!(
-        counter_calls(&limiter.handle(START + MS, &[Event::Request(one)])).is_empty(),
+        counter_calls(&limiter.handle(START + MS, &[Event::Request(request)])).is_empty(),
         "no backend, no call"
     );
     let actions = limiter
@@ -209,10 +209,10 @@
     // Here the counter finds no quota left: 6 units are missing for 1, at 10 per second.
     let at = START + 6_000 * MS;
     let mut limiter = new_limiter(Settings { limiters: 100, ..settings() }, 4);
-    let one = Request { spread: 100, ..new_request(1, 0, 1) };
-    let name = counter_calls(&limiter.handle(at, &[Event::Request(one)]))[0].0;
-    let window_use = 65.0;
-    let actions = limiter.handle(at, &[counter_reply(name, window_use)]);
+    let request = Request { spread: 100, ..new_request(1, 0, 1) };
+    let name = counter_calls(&limiter.handle(at, &[Event::Request(request)]))[0].0;
+    let total = 65.0;
+    let actions = limiter.handle(at, &[counter_reply(name, total)]);
     assert_eq!(retry_after_of_first(&actions), 600 * MS);
     // The ceiling is empty after a start: 1 unit at 20 per second over two limiters.
     let mut limiter = new_limiter(settings(), 1);
@@ -276,11 +276,11 @@
             })],
         );
     }
-    let start_plus = |ms: u64| START + ms * MS;
+    let after_start = |ms: u64| START + ms * MS;
     let early: usize =
-        (1..=9).map(|s| counter_calls(&limiter.handle(start_plus(s * 100), &[Event::Timer])).len()).sum();
+        (1..=9).map(|s| counter_calls(&limiter.handle(after_start(s * 100), &[Event::Timer])).len()).sum();
     assert_eq!(early, 0, "one call is left for a precheck");
-    assert_eq!(counter_calls(&limiter.handle(start_plus(950), &[from(3)])).len(), 1);
+    assert_eq!(counter_calls(&limiter.handle(after_start(950), &[from(3)])).len(), 1);
 }
 
 #[test]
@@ -351,9 +351,9 @@
 fn concurrency_limit_falls_back_to_even_share_without_counter() {
     let mut limiter = new_limiter(settings(), 4);
     let name = counter_calls(&limiter.handle(START, &[request_event(1, 0, 2), request_event(2, 0, 2)]))[0].0;
-    let down = Event::CounterReplied { name, outcome: Outcome::TimedOut, total: None };
+    let timed_out = Event::CounterReplied { name, outcome: Outcome::TimedOut, total: None };
     assert_eq!(
-        started_attempts(&limiter.handle(START + 50 * MS, &[down])).len(),
+        started_attempts(&limiter.handle(START + 50 * MS, &[timed_out])).len(),
         1,
         "one of two, shared by two limiters"
     );
@@ -383,8 +383,8 @@
     let reported = reported + calls.iter().map(|c| c.1).sum::<f64>();
     limiter
         .handle(START + 500 * MS, &[endpoint_list(2, false, vec![endpoint("b0", BackendState::Draining)])]);
-    let held: Vec<Event> = (10..16).map(|id| request_event(id, 0, 1)).collect();
-    let actions = limiter.handle(START + 500 * MS, &held);
+    let events: Vec<Event> = (10..16).map(|id| request_event(id, 0, 1)).collect();
+    let actions = limiter.handle(START + 500 * MS, &events);
     let queued = 6 - (10..16).filter(|id| is_rejected(&actions, *id)).count();
     assert!(queued > 0);
     limiter.handle(START + 501 * MS, &[counter_reply(name, reported)]);
@@ -457,8 +457,8 @@
             }
         }
     }
-    let back = calls.iter().position(|c| *c > 0).expect("the limiters call again");
-    let first: usize = calls[back..back + 3].iter().sum();
+    let first_step = calls.iter().position(|c| *c > 0).expect("the limiters call again");
+    let first: usize = calls[first_step..first_step + 3].iter().sum();
     assert!(first <= 50, "calls within 30 ms of the first: {calls:?}");
 }
 
@@ -490,10 +490,10 @@
     let mut limiter = new_limiter(Settings { limiters: 100, ..settings() }, 40);
     let from = |id| Event::Request(Request { customer: id, ..new_request(id, 0, 1) });
     let at = START + 2_000 * MS;
-    let out = counter_calls(&limiter.handle(at, &(1..=4).map(from).collect::<Vec<_>>()));
-    assert_eq!(out.len(), 4);
+    let in_flight = counter_calls(&limiter.handle(at, &(1..=4).map(from).collect::<Vec<_>>()));
+    assert_eq!(in_flight.len(), 4);
     let lost = |(name, _)| Event::CounterReplied { name, outcome: Outcome::TimedOut, total: None };
-    limiter.handle(at + 30 * MS, &out.into_iter().map(lost).collect::<Vec<_>>());
+    limiter.handle(at + 30 * MS, &in_flight.into_iter().map(lost).collect::<Vec<_>>());
     // None of the later calls is answered, so the rate stays where the event left it.
     let calls: usize = (0..300)
         .map(|step| counter_calls(&limiter.handle(at + 31 * MS + step * 10 * MS, &[from(100 + step)])).len())
