--- a/src/net/admin/stats.rs
+++ b/src/net/admin/stats.rs
@@ -72,14 +72,14 @@
         }
     }
 
-    /// A request whose class is known was accepted: it is pending until [`AdminStats::request_ended`].
-    pub fn request_started(&self) {
+    /// A request whose class is known was accepted: it is pending until [`AdminStats::record_request_ended`].
+    pub fn record_request_started(&self) {
         self.pending.fetch_add(1, Relaxed);
     }
 
     /// A request of the class at place `class` ended; `status` is its answer's, `None` where its client went away
     /// first and there is no answer to count.
-    pub fn request_ended(&self, class: usize, status: Option<StatusCode>) {
+    pub fn record_request_ended(&self, class: usize, status: Option<StatusCode>) {
         self.pending.fetch_sub(1, Relaxed);
         if let (Some(class), Some(status)) = (self.classes.get(class), status) {
             class.count(status).fetch_add(1, Relaxed);
@@ -87,7 +87,7 @@
     }
 
     /// An attempt was written whole to a backend.
-    pub fn attempt_written(&self) {
+    pub fn record_attempt_written(&self) {
         self.attempts.fetch_add(1, Relaxed);
     }
 
--- a/src/net/admin/stats/tests.rs
+++ b/src/net/admin/stats/tests.rs
@@ -6,13 +6,13 @@
 fn each_answer_is_counted_once_under_its_class() {
     let stats = AdminStats::new(["read", "write"]);
     for status in [StatusCode::OK, StatusCode::TOO_MANY_REQUESTS, StatusCode::BAD_GATEWAY] {
-        stats.request_started();
-        stats.request_ended(1, Some(status));
+        stats.record_request_started();
+        stats.record_request_ended(1, Some(status));
     }
-    stats.request_started();
-    stats.request_started();
-    stats.request_ended(0, None);
-    stats.attempt_written();
+    stats.record_request_started();
+    stats.record_request_started();
+    stats.record_request_ended(0, None);
+    stats.record_attempt_written();
     stats.set_backend_counts(5, 2);
     let json = stats.json();
     assert_eq!(json["downstream_requests"]["write"], json!({"completed": 1, "rejected": 1, "failed": 1}));
--- a/src/net/listener/handler.rs
+++ b/src/net/listener/handler.rs
@@ -67,7 +67,7 @@
         Ok(head) => head,
         Err(error) => return error.into_response(),
     };
-    listener.figures.request_started();
+    listener.figures.record_request_started();
     let mut pending = PendingRequest { figures: &listener.figures, class: head.class, status: None };
     let received = ReceivedRequest { arrived_at, parts, head, body };
     let response = answer(&listener, received, connection).await;
@@ -85,7 +85,7 @@
 
 impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.figures.request_ended(self.class, self.status);
+        self.figures.record_request_ended(self.class, self.status);
     }
 }
 
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -122,7 +122,7 @@
             StepEnd::DeadlinePassed => {
                 // An answer that has begun was counted with its head.
                 if progress.state() == ExchangeState::WrittenWhole {
-                    self.shared.figures.attempt_written();
+                    self.shared.figures.record_attempt_written();
                 }
                 NextStep::EndWith(progress.outcome_at_deadline())
             }
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -29,7 +29,7 @@
     let progress = connection.progress();
     // Written whole: the last byte was taken before the answer's head was read, or the exchange broke.
     if progress.is_written_whole() {
-        shared.figures.attempt_written();
+        shared.figures.record_attempt_written();
     }
     let Ok(response) = response else {
         return progress.outcome_of_break();
