--- a/src/cli.rs
+++ b/src/cli.rs
@@ -6,9 +6,9 @@
 
 use crate::net::config::{self, settings};
 
-/// A rate limiter that keeps each customer of a shared back end to its plan, over all limiters together.
+/// A rate limiter that holds each customer of a shared backend to its plan, counted over all limiters.
 ///
-/// Without a command it serves: LB_CONFIG names the platform's configuration, --settings a file of ours.
+/// Without a command it serves: LB_CONFIG names the platform's configuration file, --settings a settings file.
 #[derive(Parser)]
 #[command(
     name = "sedgestack",
@@ -19,24 +19,24 @@
   sedgestack check /run/balancer/config.json
   sedgestack check --format json deploy/sedgestack.hcl
 
-Signals: SIGTERM or SIGINT ends in order, SIGHUP reads the addresses again, SIGUSR1 prints the counters.
-Exit status: 0 ended in order, or the file is in order; 1 could not start or serve; 2 bad arguments, or the
-file that `check` read is faulty."
+Signals: SIGTERM or SIGINT shuts down gracefully, SIGHUP reloads the addresses, SIGUSR1 prints the counters.
+Exit status: 0 after a graceful shutdown, or if the checked file is in order; 1 if the limiter could not start
+or serve; 2 for bad arguments, or if the file that `check` read is faulty."
 )]
 pub struct Cli {
-    /// Settings of ours, in HCL: log and capture. Everything in them is off or at its default without
+    /// Settings file (HCL) for the log, captures and the tier. Without it, each is off or at its default
     #[arg(long, value_name = "FILE")]
     pub settings: Option<PathBuf>,
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What to do instead of serving.
+/// Commands that replace serving.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Checks a file and says what is wrong with it: settings of ours (.hcl) or the platform's configuration
+    /// Checks a file and reports what is wrong with it: a settings file (.hcl) or the platform's configuration
     Check {
-        /// The file
+        /// File to check
         file: PathBuf,
         /// Output for people or for machines
         #[arg(long, value_enum, default_value = "text")]
@@ -44,20 +44,20 @@
     },
 }
 
-/// How `check` answers.
+/// Output format of `check`.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Format {
     Text,
     Json,
 }
 
-/// For how long a tier's versions may overlap, in words; empty without a tier.
+/// Returns for how long two versions of a tier may overlap, in words; empty without a tier.
 fn version_overlap(settings: &settings::Settings) -> String {
     let tier = settings.tier.as_ref();
     tier.map_or(String::new(), |tier| format!("; {}", tier.version_overlap_in_words()))
 }
 
-/// Checks a file; the answer, and whether the file is in order.
+/// Checks a file. Returns the answer to print, and whether the file is valid.
 pub fn check(file: &Path, format: Format) -> (String, bool) {
     let found = if file.extension().is_some_and(|e| e == "hcl") {
         settings::read(file).map_err(|e| e.to_string()).map(|s| match &s.capture {
@@ -74,7 +74,7 @@
         })
     };
     let name = file.display().to_string();
-    let in_order = found.is_ok();
+    let is_valid = found.is_ok();
     let answer = match (format, found) {
         (Format::Text, Ok(summary)) => format!("{name}: in order: {summary}"),
         (Format::Text, Err(fault)) => fault,
@@ -85,5 +85,5 @@
             serde_json::json!({"file": name, "in_order": false, "fault": fault}).to_string()
         }
     };
-    (answer, in_order)
+    (answer, is_valid)
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! `sedgestack`: one limiter on real sockets round the library's decisions.
+//! The `sedgestack` daemon: runs one limiter on real sockets, with the library making the decisions.
 
 mod cli;
 mod net;
@@ -16,7 +16,7 @@
 use net::runtime::log;
 use startup::{Capture, RunError};
 
-/// Why the daemon ended with a failure.
+/// Reason why the daemon ended with a failure.
 #[derive(Debug, thiserror::Error)]
 enum DaemonError {
     #[error(transparent)]
@@ -27,14 +27,14 @@
     Limiter { limiter: String, source: Box<RunError> },
 }
 
-/// Runs the limiter until it ends, and then prints the counters.
+/// Runs the limiter until it ends, then prints the counters.
 fn serve(settings: &Settings) -> Result<(), DaemonError> {
     let config = config::read()?;
     let limiter = config.name.clone();
     let capture = startup::start_capture(settings, &config);
     let (recorder, writer) = capture.map(|Capture { recorder, thread }| (recorder, thread)).unzip();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    // The recorder is dropped with the runtime, and its thread then finishes the file.
+    // Dropping the runtime drops the recorder, after which the capture thread completes its file.
     let ended = runtime
         .map_err(RunError::Runtime)
         .and_then(|runtime| runtime.block_on(startup::run(config, settings.tier.clone(), recorder)));
@@ -44,7 +44,7 @@
     ended.map_err(|source| DaemonError::Limiter { limiter, source: Box::new(source) })
 }
 
-/// Reads the settings and serves.
+/// Reads the settings, starts the log and serves.
 fn run_daemon(cli: &Cli) -> Result<(), DaemonError> {
     let settings = match &cli.settings {
         Some(path) => settings::read(path)?,
@@ -57,14 +57,14 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     if let Some(Command::Check { file, format }) = &cli.command {
-        let (answer, in_order) = cli::check(file, *format);
+        let (answer, is_valid) = cli::check(file, *format);
         println!("{answer}");
-        return if in_order { ExitCode::SUCCESS } else { ExitCode::from(2) };
+        return if is_valid { ExitCode::SUCCESS } else { ExitCode::from(2) };
     }
     match run_daemon(&cli) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("sedgestack: {why}");
+        Err(error) => {
+            eprintln!("sedgestack: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/net/admin/cordon.rs
+++ b/src/net/admin/cordon.rs
@@ -34,7 +34,7 @@
         Ok(name) => name,
         Err(reason) => return error(StatusCode::BAD_REQUEST, reason),
     };
-    let _order = admin.order.lock().await;
+    let _guard = admin.cordon_lock.lock().await;
     let (reply, answer) = oneshot::channel();
     if admin.control.try_send(Control::Cordon { name: name.clone(), cordoned, reply }).is_err() {
         return error(StatusCode::SERVICE_UNAVAILABLE, "the module is busy; call again");
@@ -44,7 +44,7 @@
         Ok(None) => return error(StatusCode::NOT_FOUND, &format!("no server {name} is known")),
         Err(_) => return error(StatusCode::SERVICE_UNAVAILABLE, "the module has stopped"),
     };
-    store(admin, &name, cordoned);
+    store_cordon(admin, &name, cordoned);
     let list = serde_json::to_string(&names).expect("names are JSON");
     ok(format!("{{\"cordoned\":{list}}}\n"))
 }
@@ -67,8 +67,8 @@
 
 /// Stores the change, where the set is stored. Guards the answer: a set that can't be written still holds in this
 /// process, and the log says why.
-fn store(admin: &Admin, name: &str, cordoned: bool) {
-    let Some(path) = &admin.store else { return };
+fn store_cordon(admin: &Admin, name: &str, cordoned: bool) {
+    let Some(path) = &admin.cordon_file else { return };
     if let Err(e) = cordons::change(path, name, cordoned) {
         COUNTERS.cordons_unwritten.increment();
         say!("cordons: {}: {e}; the set holds until this process ends", path.display());
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -48,15 +48,15 @@
 
 /// What the calls of the operators' address share.
 pub struct Admin {
-    pub figures: Arc<AdminStats>,
+    pub stats: Arc<AdminStats>,
     pub phase: watch::Sender<Phase>,
     pub control: mpsc::Sender<Control>,
     /// The file that stores the set of cordoned backends, if any.
-    pub store: Option<PathBuf>,
+    pub cordon_file: Option<PathBuf>,
     /// Locked by whoever changes the set: see [`cordons::watch_file`](crate::net::control::cordons::watch_file).
-    pub order: Arc<Mutex<()>>,
+    pub cordon_lock: Arc<Mutex<()>>,
     /// The consensus actor, where limiters agree on versions of the runtime configuration.
-    pub tier: Option<mpsc::Sender<OperatorRequest>>,
+    pub consensus: Option<mpsc::Sender<OperatorRequest>>,
 }
 
 /// The operators' address can't be bound; the text names the key of the configuration.
@@ -136,7 +136,7 @@
 }
 
 async fn stats(State(admin): State<Arc<Admin>>) -> Response {
-    respond::ok(format!("{}\n", admin.figures.json()))
+    respond::ok(format!("{}\n", admin.stats.json()))
 }
 
 #[cfg(test)]
--- a/src/net/admin/rules.rs
+++ b/src/net/admin/rules.rs
@@ -17,7 +17,7 @@
 
 /// Passes a call on to the consensus actor, where there is one, and gives its answer.
 async fn call_consensus(admin: &Admin, call: OperatorCall) -> Response {
-    let Some(consensus) = &admin.tier else {
+    let Some(consensus) = &admin.consensus else {
         return error(StatusCode::NOT_FOUND, "no tier: the settings have no block tier");
     };
     let (reply, answer) = oneshot::channel();
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -11,12 +11,12 @@
     let (control, calls) = mpsc::channel(4);
     let (phase, seen) = watch::channel(Phase::Serving);
     let admin = Admin {
-        figures: Arc::new(AdminStats::new(["read"])),
+        stats: Arc::new(AdminStats::new(["read"])),
         phase,
         control,
-        store: None,
-        tier: None,
-        order: Arc::default(),
+        cordon_file: None,
+        consensus: None,
+        cordon_lock: Arc::default(),
     };
     (routes(admin), calls, seen)
 }
--- a/src/net/listener/accept.rs
+++ b/src/net/listener/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients' connections.
+//! Accepts clients' connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,14 +19,17 @@
 use crate::net::runtime::socket_reuse;
 use crate::say;
 
-/// Connections whose time is up are looked for this often.
+/// Interval between two checks for connections whose time is up.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// After an accept that failed, the next one waits: descriptors come free in this time, and not at once.
+/// Backoff after a failed accept: file descriptors become free within this time, but not at once.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Accepts downstream connections until the program stops, then answers what they brought and returns.
+/// Accepts downstream connections until the process stops accepting, then waits until the last one has ended.
 ///
-/// At most `max_connections` are open at a time. Errors: the address can't be bound, or its socket not be used.
+/// At most `max_connections` are open at a time.
+///
+/// # Errors
+/// Returns an error if the address can't be bound or its socket can't be used.
 pub async fn serve(listen: SocketAddr, max_connections: usize, listener: Listener) -> io::Result<()> {
     let socket = bind(listen)?;
     let acceptor = Acceptor {
@@ -43,16 +46,16 @@
     Ok(())
 }
 
-/// Binds the address for clients with SO_REUSEPORT, so that the process that replaces this one can
-/// listen beside it. Errors: the address can't be bound.
+/// Binds the address for clients with SO_REUSEPORT, so that the process that replaces this one can listen on it at
+/// the same time. Returns an error if the address can't be bound.
 fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
     let listener = socket_reuse::listener(listen)?;
     say!("front: listening on {}", listener.local_addr()?);
     Ok(listener)
 }
 
-/// Starts the tasks that serve connections. Each holds a sender `finished` for as long as it runs, so that the channel
-/// closes when the last one has ended.
+/// Starts the tasks that serve connections. Each task holds a clone of the sender `finished` while it runs, so that
+/// the channel closes when the last task has ended.
 struct Acceptor {
     connections: Arc<Connections>,
     phase: watch::Receiver<Phase>,
@@ -70,7 +73,7 @@
             entry.clone(),
             finished.clone(),
         );
-        entry.served_by(tokio::spawn(task).abort_handle());
+        entry.set_task(tokio::spawn(task).abort_handle());
     }
 
     async fn accept_until_closing(
@@ -100,8 +103,9 @@
         }
     }
 
-    /// Starts what the machine accepted before the listener closes, which counts as accepted too, and closes the
-    /// listener. It is asked of the socket itself: the runtime may not have seen yet that something waits there.
+    /// Starts to serve the connections that the kernel has accepted before the listener closes, and closes the
+    /// listener. It accepts from the socket itself because the runtime may not have noticed yet that connections are
+    /// waiting.
     fn accept_backlog(&self, listener: TcpListener, finished: mpsc::Sender<()>) -> io::Result<()> {
         let listener = listener.into_std()?;
         while let Ok((stream, _)) = listener.accept() {
--- a/src/net/listener/client_watch.rs
+++ b/src/net/listener/client_watch.rs
@@ -1,4 +1,4 @@
-//! Clients that go away before their answer.
+//! Reports clients that disconnect before their answer.
 
 use sedgestack::RequestId;
 use tokio::sync::mpsc;
@@ -6,25 +6,26 @@
 
 use crate::net::control::message::Message;
 
-/// Reports that a client went away: the handler of its request is dropped then, and this with it.
+/// Reports that a client disconnected. The handler of its request is dropped then, and this value with it.
 pub(super) struct ClientWatch {
     id: RequestId,
-    module: mpsc::Sender<Message>,
+    control: mpsc::Sender<Message>,
     client_gone: CancellationToken,
     is_answered: bool,
 }
 
 impl ClientWatch {
-    /// Watches the client of request `id`, for which `client_gone` is cancelled and `module` is told.
+    /// Watches the client of request `id`. If the client disconnects, `client_gone` is cancelled and `control` is
+    /// notified.
     pub(super) fn new(
         id: RequestId,
-        module: mpsc::Sender<Message>,
+        control: mpsc::Sender<Message>,
         client_gone: CancellationToken,
     ) -> ClientWatch {
-        ClientWatch { id, module, client_gone, is_answered: false }
+        ClientWatch { id, control, client_gone, is_answered: false }
     }
 
-    /// The request has its answer: nothing is reported any more.
+    /// Records that the request has its answer: dropping this value then reports nothing.
     pub(super) fn on_answered(&mut self) {
         self.is_answered = true;
     }
@@ -37,10 +38,10 @@
         }
         self.client_gone.cancel();
         let abandoned = Message::Abandoned(self.id);
-        // A full mailbox must not lose it: what is still done for the request would never end.
-        if let Err(mpsc::error::TrySendError::Full(abandoned)) = self.module.try_send(abandoned) {
-            let module = self.module.clone();
-            tokio::spawn(async move { module.send(abandoned).await });
+        // The message must not be lost when the mailbox is full: attempts for the request would never be ended.
+        if let Err(mpsc::error::TrySendError::Full(abandoned)) = self.control.try_send(abandoned) {
+            let control = self.control.clone();
+            tokio::spawn(async move { control.send(abandoned).await });
         }
     }
 }
--- a/src/net/listener/connection.rs
+++ b/src/net/listener/connection.rs
@@ -1,4 +1,4 @@
-//! The life of one client's connection.
+//! Serves one client connection from accept to close.
 
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
@@ -25,25 +25,25 @@
 use crate::net::runtime::shutdown::Phase;
 use crate::net::runtime::socket_errors;
 
-/// Bytes of a request held unread at once: bounds memory over all downstream connections.
+/// Maximum number of unread request bytes per connection, which bounds the memory of all downstream connections.
 const MAX_REQUEST_HEAD_BYTES: usize = 64 << 10;
-/// A connection that the machine accepted has so long for its first request, also during a shutdown.
+/// Time that an accepted connection has for its first request, also during a shutdown.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(450);
-/// Bytes skipped at most after an error was answered, for the client to have read it.
+/// Maximum number of bytes that are skipped after an error response, so that the client can read the response.
 const MAX_SKIPPED_BYTES: usize = 1 << 20;
 
-/// The connection that a request came on, as the handler knows it.
+/// The connection that a request arrived on, as seen by the request handler.
 #[derive(Clone)]
 pub(super) struct ClientConnection {
     pub(super) entry: Arc<ConnectionEntry>,
     pub(super) downstream: Arc<Downstream>,
 }
 
-/// Serves one downstream connection to its end. It holds `_finished` until then.
+/// Serves one downstream connection until it ends, and holds `_finished` until then.
 ///
-/// One that stands idle when the program begins a graceful shutdown is closed at once, unless it is so new that its first
-/// request may be on its way; one that comes during the shutdown is closed when the program stops, and one that comes
-/// later when the listener closes. An answer during a shutdown closes its connection.
+/// A connection that is idle when a graceful shutdown begins is closed at once, unless it is so new that its first
+/// request may be on its way. A connection accepted during the shutdown is closed when the process stops, and one
+/// accepted after that when the listener closes. During a shutdown, each answer closes its connection.
 pub(super) async fn serve_connection(
     stream: TcpStream,
     routes: Router,
@@ -71,15 +71,15 @@
             ConnectionEnd::Finished(ended) => ended,
         }
     };
-    // Otherwise the client went away, or has had its last answer.
+    // Otherwise the client has disconnected, or its last answer needs no further reading.
     if was_refused.load(Relaxed) || ended.is_err_and(|e| e.is_parse()) {
         entry.set_stage(Stage::Unfinished);
         skip_unread(&downstream).await;
     }
 }
 
-/// Passes requests on to `routes` with the connection that they came on, and records each answer's stage, and in
-/// `was_refused` whether the last one was an error of the client's.
+/// Passes requests on to `routes` together with their connection. Records the stage of each answer, and in
+/// `was_refused` whether the last answer was a client error.
 fn request_service<'a>(
     routes: Router,
     client: &'a ClientConnection,
@@ -99,42 +99,43 @@
     })
 }
 
-/// When a connection that stands idle is closed by a shutdown.
+/// Decides when a shutdown closes an idle connection.
 struct IdleClose {
     phase: watch::Receiver<Phase>,
-    /// The phase of the program at which it closes.
-    closes_at: Phase,
-    /// It does not close before this.
-    first_request_by: Instant,
+    /// The phase of the process from which the connection closes.
+    closing_phase: Phase,
+    /// Time before which the connection does not close.
+    earliest_close: Instant,
 }
 
 impl IdleClose {
-    /// For a connection that is accepted now.
+    /// Returns the rule for a connection that is accepted now.
     fn new(phase: watch::Receiver<Phase>) -> IdleClose {
-        let first_request_by = Instant::now() + FIRST_REQUEST_TIMEOUT;
-        let closes_at = match *phase.borrow() {
+        let earliest_close = Instant::now() + FIRST_REQUEST_TIMEOUT;
+        let closing_phase = match *phase.borrow() {
             Phase::Serving => Phase::Quiesced,
             Phase::Quiesced => Phase::Stopping,
             Phase::Stopping | Phase::Closing => Phase::Closing,
         };
-        IdleClose { phase, closes_at, first_request_by }
+        IdleClose { phase, closing_phase, earliest_close }
     }
 
-    /// Waits until an idle connection closes. Guards requests on their way: a connection closed before its first byte was
-    /// read turns one back unheard. The answer closes it then.
-    async fn due(&mut self) {
-        let _ = self.phase.wait_for(|p| *p >= self.closes_at).await;
-        sleep_until(self.first_request_by).await;
+    /// Waits until the connection must close if it is idle. Waiting for `earliest_close` protects a request on its
+    /// way: closing the connection before its first byte is read would lose the request. After the wait, its answer
+    /// closes the connection.
+    async fn wait_until_due(&mut self) {
+        let _ = self.phase.wait_for(|p| *p >= self.closing_phase).await;
+        sleep_until(self.earliest_close).await;
     }
 }
 
-/// How serving a connection ended.
+/// How the serving of a connection ended.
 enum ConnectionEnd {
     ClientGone,
     Finished(hyper::Result<()>),
 }
 
-/// Serves requests until the client's end, or the connection is closed by a shutdown.
+/// Serves requests until the client disconnects or a shutdown closes the connection.
 async fn serve_requests<S>(
     mut connection: Pin<&mut http1::Connection<DownstreamIo, S>>,
     client: &ClientConnection,
@@ -146,8 +147,8 @@
     let downstream = &client.downstream;
     tokio::select! {
         ended = connection.as_mut() => return ConnectionEnd::Finished(ended),
-        () = downstream.gone() => return ConnectionEnd::ClientGone,
-        () = idle_close.due() => {}
+        () = downstream.wait_until_gone() => return ConnectionEnd::ClientGone,
+        () = idle_close.wait_until_due() => {}
     }
     tokio::select! {
         ended = finish_partial_request(connection.as_mut(), &client.entry) => {
@@ -155,17 +156,18 @@
                 return ConnectionEnd::Finished(ended);
             }
         }
-        () = downstream.gone() => return ConnectionEnd::ClientGone,
+        () = downstream.wait_until_gone() => return ConnectionEnd::ClientGone,
     }
     connection.as_mut().graceful_shutdown();
     tokio::select! {
         ended = connection => ConnectionEnd::Finished(ended),
-        () = downstream.gone() => ConnectionEnd::ClientGone,
+        () = downstream.wait_until_gone() => ConnectionEnd::ClientGone,
     }
 }
 
-/// Serves on for as long as a request has come in part on a connection that was idle; `None` once none has. Guards that
-/// request: the server library would drop what it has read and close. Its answer closes the connection.
+/// Continues serving while part of a further request has arrived on the connection. Returns `None` once there is no
+/// partial request. Otherwise the server library would discard the bytes read so far and close the connection. The
+/// answer to the request closes the connection.
 async fn finish_partial_request<S>(
     mut connection: Pin<&mut http1::Connection<DownstreamIo, S>>,
     entry: &ConnectionEntry,
@@ -181,8 +183,9 @@
     .await
 }
 
-/// Reads what a client still sends after it was answered an error, for it to read the error: a socket closed with bytes
-/// unread is reset. Guards against skipping without end by a count of bytes, and by the socket's stage.
+/// Reads and discards what a client still sends after an error response, so that the client can read the response:
+/// closing a socket with unread bytes resets it. The number of bytes and the time limit of the connection's stage
+/// bound this.
 async fn skip_unread(downstream: &Downstream) {
     downstream.shutdown_write();
     let mut skipped = 0;
--- a/src/net/listener/connection_table.rs
+++ b/src/net/listener/connection_table.rs
@@ -1,7 +1,7 @@
-//! How far each open downstream connection is with its request, without its I/O: which one is closed when its time is up
-//! or capacity runs short.
+//! The stage of each open downstream connection, without its I/O. Decides which connection is closed when its time is
+//! up or capacity runs short.
 //!
-//! A connection whose request is in flight is never closed from here.
+//! A connection whose request is in flight is never closed.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -11,53 +11,55 @@
 
 use crate::net::runtime::metrics::{Counter, COUNTERS};
 
-/// A request, head and body, that has not come whole by then never will; the platform owes who sends
-/// rubbish, or nothing, an end within 3 s of connecting.
+/// Time within which a whole request, head and body, must arrive. The platform requires that a client that sends
+/// invalid data, or nothing, is disconnected within 3 s of connecting.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// An answer that a client has not taken by then is not being read.
+/// Time within which a client must read its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Between requests a connection stays open for so long ...
+/// How long an idle connection stays open between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// ... and for this long, the least that the platform allows, where over half of the capacity is used: its clients
-/// hold no more than a part of the descriptors, and some keep open for good what they used once.
+/// How long an idle connection stays open when more than half of the capacity is used: the shortest time that the
+/// platform allows. It keeps clients that never close their connections from holding all descriptors.
 const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Which connection is closed for want of capacity.
+/// Describes which connections may be closed when capacity runs short.
 struct EvictionRule {
-    /// The connection's stage, by its index in `TIMED_STAGES`.
+    /// The stage of the connection, as an index into `TIMED_STAGES`.
     stage_index: usize,
-    /// It has been at that stage for at least so long.
+    /// How long the connection must have been at that stage.
     min_time: Duration,
 }
 
-/// What is closed for want of capacity, in this order: clients that have had an answer and are idle come again unharmed,
-/// while one that is slow to write loses its request. Usual requests come within the least of these times.
+/// The order in which connections are closed when capacity runs short. Idle clients that have had an answer can
+/// reconnect without harm, while a client that is slow to send loses its request. Normal requests arrive in less than
+/// the shortest of these times.
 const EVICTION_ORDER: [EvictionRule; 4] = [
     EvictionRule { stage_index: IDLE, min_time: Duration::from_millis(500) },
     EvictionRule { stage_index: UNFINISHED, min_time: Duration::from_millis(250) },
     EvictionRule { stage_index: IDLE, min_time: MIN_TIME_BEFORE_EVICTION },
     EvictionRule { stage_index: UNFINISHED, min_time: MIN_TIME_BEFORE_EVICTION },
 ];
+/// Time for which no connection is evicted after it has entered its stage.
 const MIN_TIME_BEFORE_EVICTION: Duration = Duration::from_millis(50);
 
-/// How far a downstream connection is.
+/// Progress of a downstream connection with its current request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// A request is awaited on a new connection or has come in part; or an error was answered and what still comes is
-    /// skipped.
+    /// A new connection awaits its first request, part of a request has arrived, or the rest of a request is being
+    /// skipped after an error response.
     Unfinished,
-    /// No answer is owed; the next request may come.
+    /// No answer is outstanding; the next request may arrive.
     Idle,
     /// The answer is being written.
     Answering,
-    /// The request was handed over, and is not answered.
+    /// The request was passed to the control actor and is not answered yet.
     InFlight,
 }
 
 /// How long a connection may stay at a stage.
 struct StageLimit {
     timeout: Duration,
-    /// Counts the connections closed as they stayed longer.
+    /// Counts the connections that were closed because they exceeded `timeout`.
     counter: &'static Counter,
 }
 
@@ -73,7 +75,7 @@
     }
 }
 
-/// Stages whose time is limited, and the indices of two of them here.
+/// The stages that are limited in time. `UNFINISHED` and `IDLE` are indices into this array.
 const TIMED_STAGES: [Stage; 3] = [Stage::Unfinished, Stage::Idle, Stage::Answering];
 const UNFINISHED: usize = 0;
 const IDLE: usize = 1;
@@ -82,45 +84,46 @@
 #[derive(Debug, PartialEq)]
 pub(super) enum Capacity {
     Available,
-    /// Once this connection is closed.
+    /// One may be accepted once this connection is closed.
     AfterClosing(u64),
-    /// None may be closed before then, or before one ends by itself.
+    /// No connection may be closed before this time; capacity becomes free earlier only if a connection ends by
+    /// itself.
     NotBefore(Option<Instant>),
 }
 
-/// An open connection.
+/// State of an open connection.
 pub(super) struct Entry {
     pub(super) stage: Stage,
-    /// When it came to its stage.
+    /// When the connection entered its stage.
     since: Instant,
-    /// The task that serves it.
+    /// The task that serves the connection.
     pub(super) task: Option<AbortHandle>,
-    /// It is being closed.
+    /// Whether the connection is being closed.
     is_closing: bool,
-    /// It has had an answer.
+    /// Whether the client has received an answer on the connection.
     pub(super) has_answered: bool,
 }
 
-/// A connection whose time is up.
+/// A connection that has exceeded the time limit of its stage.
 pub(super) struct OverdueConnection {
     pub(super) id: u64,
-    /// Counts connections closed for this.
+    /// Counts the connections closed for this reason.
     pub(super) counter: &'static Counter,
 }
 
-/// The open connections, by number and by the time at their stage.
+/// The open connections, indexed by id and by the time at which they entered their stage.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     last_id: u64,
     pub(super) open: HashMap<u64, Entry>,
-    /// Of each stage in `TIMED_STAGES`, its connections by the time since when they are there.
+    /// For each stage of `TIMED_STAGES`, its connections by the time at which they entered it.
     by_stage: [BTreeSet<(Instant, u64)>; TIMED_STAGES.len()],
-    /// How many are being closed.
+    /// Number of connections that are being closed.
     closing: usize,
 }
 
 impl ConnectionTable {
-    /// Enters a new connection, and numbers it.
+    /// Adds a new connection and returns its id.
     pub(super) fn insert(&mut self, now: Instant) -> u64 {
         self.last_id += 1;
         let entry = Entry {
@@ -135,7 +138,7 @@
         self.last_id
     }
 
-    /// From now on a connection's time is not limited.
+    /// Removes a connection from the time limits.
     fn stop_timing(&mut self, id: u64) {
         let Some(entry) = self.open.get(&id) else { return };
         if let Some(index) = TIMED_STAGES.iter().position(|s| *s == entry.stage) {
@@ -143,7 +146,7 @@
         }
     }
 
-    /// A connection has come to `stage`.
+    /// Records that a connection has entered `stage`.
     pub(super) fn set_stage(&mut self, id: u64, stage: Stage, now: Instant) {
         self.stop_timing(id);
         let Some(entry) = self.open.get_mut(&id).filter(|e| !e.is_closing) else { return };
@@ -154,7 +157,7 @@
         }
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub(super) fn remove(&mut self, id: u64) {
         self.stop_timing(id);
         if self.open.remove(&id).is_some_and(|e| e.is_closing) {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// One whose time is up, where `max_open` may be open.
+    /// Returns a connection that has exceeded its time limit, if any. `max_open` is the capacity.
     pub(super) fn find_overdue(&self, max_open: usize, now: Instant) -> Option<OverdueConnection> {
         let is_crowded = self.open.len() * 2 > max_open;
         TIMED_STAGES.iter().zip(&self.by_stage).find_map(|(stage, connections)| {
@@ -173,8 +176,8 @@
         })
     }
 
-    /// Whether there is capacity for one more where `max_open` may be open, by `EVICTION_ORDER` and the oldest of a stage
-    /// first.
+    /// Returns whether a table of at most `max_open` connections has capacity for one more, or which connection to
+    /// close for it: the first match in `EVICTION_ORDER`, and within a stage the oldest connection.
     pub(super) fn capacity(&self, max_open: usize, now: Instant) -> Capacity {
         if self.open.len() < max_open {
             return Capacity::Available;
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Closes a connection. It is counted as open until it has ended.
+    /// Starts closing a connection. It counts as open until it has ended.
     pub(super) fn close(&mut self, id: u64) {
         self.stop_timing(id);
         let Some(entry) = self.open.get_mut(&id) else { return };
--- a/src/net/listener/connection_table/tests.rs
+++ b/src/net/listener/connection_table/tests.rs
@@ -1,4 +1,4 @@
-//! Evictions and time limits against a model.
+//! Compares evictions and time limits with a model.
 
 use super::*;
 use crate::net::fixed;
@@ -13,7 +13,7 @@
     Sweep,
 }
 
-/// A connection as the model knows it.
+/// A connection in the model.
 struct ModelConnection {
     id: u64,
     stage: Stage,
@@ -34,9 +34,10 @@
 
 proptest! {
     #![proptest_config(fixed(512))]
-    /// Which connection is closed for want of capacity or time, against a model that looks through all of them.
+    /// Compares which connection is closed, for lack of capacity or because its time is up, with a model that scans
+    /// all connections.
     #[test]
-    fn the_oldest_idle_one_is_closed_first_and_none_with_a_request_in_flight(steps in prop::collection::vec(step(), 1..80)) {
+    fn oldest_idle_connection_closes_first_and_none_in_flight(steps in prop::collection::vec(step(), 1..80)) {
         const MAX_OPEN: usize = 4;
         let (mut table, mut now) = (ConnectionTable::default(), Instant::now());
         let mut model: Vec<ModelConnection> = Vec::new();
@@ -58,7 +59,7 @@
                             _ => None,
                         };
                         let candidates = model.iter_mut().filter(|c| rank(c).is_some());
-                        let first = candidates.min_by_key(|c| (rank(c), c.since, c.id)).expect("one may be closed");
+                        let first = candidates.min_by_key(|c| (rank(c), c.since, c.id)).expect("a connection may be closed");
                         prop_assert_eq!(first.id, id);
                         first.is_closing = true;
                         table.close(id);
--- a/src/net/listener/connections.rs
+++ b/src/net/listener/connections.rs
@@ -1,4 +1,4 @@
-//! The downstream connections that are open, and which one is closed when its time is up or capacity runs short.
+//! The open downstream connections. Closes those whose time is up, and some when capacity runs short.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -9,7 +9,7 @@
 use super::connection_table::{Capacity, ConnectionTable, OverdueConnection, Stage};
 use crate::net::runtime::metrics::COUNTERS;
 
-/// The downstream connections of the program, at most `max_open` at a time.
+/// The downstream connections of the process, at most `max_open` at a time.
 pub(super) struct Connections {
     max_open: usize,
     table: Mutex<ConnectionTable>,
@@ -17,7 +17,7 @@
 }
 
 impl Connections {
-    /// None yet.
+    /// Returns an empty set.
     pub(super) fn new(max_open: usize) -> Arc<Connections> {
         Arc::new(Connections { max_open, table: Mutex::default(), ended: Notify::new() })
     }
@@ -26,16 +26,17 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until one more may be accepted. Guards usual clients against others that connect by hundreds
-    /// and say nothing, or keep open for good what they used once: the oldest of these are closed.
+    /// Waits until one more connection may be accepted, closing the oldest connections if necessary. This keeps
+    /// normal clients served when others open hundreds of connections without sending, or never close connections
+    /// they used once.
     pub(super) async fn make_room(&self) {
         let mut candidate = None;
         loop {
             let ended = self.ended.notified();
             let not_before = match self.capacity_now(candidate) {
                 Capacity::Available => return,
-                // Guards a request that came while this program had no turn: all connections are read before one of
-                // them is closed.
+                // A request may have arrived while this process was not scheduled, so all connections are read before
+                // one of them is closed.
                 Capacity::AfterClosing(id) => {
                     candidate = Some(id);
                     yield_now().await;
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Whether there is capacity; `candidate` is closed if it is still the one to be closed.
+    /// Returns whether there is capacity. Closes `candidate` if it is still the connection to close.
     fn capacity_now(&self, candidate: Option<u64>) -> Capacity {
         let (mut table, now) = (self.table(), Instant::now());
         match table.capacity(self.max_open, now) {
@@ -79,33 +80,33 @@
         }
     }
 
-    /// Enters a connection that was accepted.
+    /// Registers an accepted connection.
     pub(super) fn register(self: &Arc<Connections>) -> Arc<ConnectionEntry> {
         let id = self.table().insert(Instant::now());
         Arc::new(ConnectionEntry { connections: self.clone(), id })
     }
 }
 
-/// A downstream connection's entry among the open ones; it is removed when this is dropped.
+/// The registration of a downstream connection, removed from the open ones when it is dropped.
 pub(super) struct ConnectionEntry {
     connections: Arc<Connections>,
     id: u64,
 }
 
 impl ConnectionEntry {
-    /// The task that serves the connection; it is aborted to close it.
-    pub(super) fn served_by(&self, task: AbortHandle) {
+    /// Sets the task that serves the connection; aborting the task closes the connection.
+    pub(super) fn set_task(&self, task: AbortHandle) {
         if let Some(entry) = self.connections.table().open.get_mut(&self.id) {
             entry.task = Some(task);
         }
     }
 
-    /// The connection has come to a stage.
+    /// Records that the connection has entered `stage`.
     pub(super) fn set_stage(&self, stage: Stage) {
         self.connections.table().set_stage(self.id, stage, Instant::now());
     }
 
-    /// It goes from one stage to the next, if it is there.
+    /// Moves the connection from stage `from` to stage `to` if it is at `from`.
     pub(super) fn advance_stage(&self, from: Stage, to: Stage) {
         let mut table = self.connections.table();
         if table.open.get(&self.id).is_some_and(|e| e.stage == from) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Whether a further request has come in part, on a connection that had an answer.
+    /// Whether part of a further request has arrived on a connection that has had an answer.
     pub(super) fn has_partial_request(&self) -> bool {
         let table = self.connections.table();
         table.open.get(&self.id).is_some_and(|e| e.has_answered && e.stage == Stage::Unfinished)
--- a/src/net/listener/downstream_io.rs
+++ b/src/net/listener/downstream_io.rs
@@ -1,4 +1,4 @@
-//! A client's connection as bytes.
+//! Byte-level I/O on a client's connection.
 
 use std::future::poll_fn;
 use std::io::{self, IoSlice};
@@ -23,13 +23,14 @@
 use super::connections::ConnectionEntry;
 use crate::net::runtime::socket_errors;
 
-/// Bytes read ahead at most behind a request that is in flight.
+/// Maximum number of bytes read ahead while a request is in flight.
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
-/// The client's end is looked for this often behind more bytes than are read ahead. The platform allows 100 ms.
+/// Interval between checks whether the client has disconnected when the read-ahead buffer is full. The platform
+/// allows 100 ms to notice it.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A client's connection. While a request of its is in flight, what comes behind the request is read ahead here: the
-/// client's end would stay unseen behind bytes that nobody reads.
+/// A client's connection. While a request is in flight, the bytes that follow it are read ahead into this buffer,
+/// because a disconnect is not visible behind unread bytes.
 pub(super) struct Downstream {
     stream: Mutex<TokioIo<TcpStream>>,
     read_ahead: Mutex<BytesMut>,
@@ -37,7 +38,7 @@
 }
 
 impl Downstream {
-    /// The connection on `stream`.
+    /// Wraps an accepted stream.
     pub(super) fn new(stream: TcpStream) -> Arc<Downstream> {
         let stream = Mutex::new(TokioIo::new(stream));
         Arc::new(Downstream { stream, read_ahead: Mutex::default(), gone: CancellationToken::new() })
@@ -51,10 +52,10 @@
         self.read_ahead.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until the client closes or resets the connection, and reads ahead meanwhile. Nobody else may await bytes.
-    /// Guards memory: behind more than `MAX_READ_AHEAD_BYTES` nothing is read, and the runtime is asked whether it has seen
-    /// the end.
-    pub(super) async fn closed(&self) {
+    /// Waits until the client closes or resets the connection, and reads ahead meanwhile. No other task may read from
+    /// the connection at the same time. To bound memory, at most about `MAX_READ_AHEAD_BYTES` are read; after that,
+    /// the runtime is polled for whether it has seen the end.
+    pub(super) async fn wait_until_closed(&self) {
         while self.read_ahead().len() < MAX_READ_AHEAD_BYTES {
             let mut bytes = [MaybeUninit::uninit(); 1024];
             let mut buffer = hyper::rt::ReadBuf::uninit(&mut bytes);
@@ -70,24 +71,24 @@
         self.gone.cancel();
     }
 
-    /// Whether the client's end was seen, before or behind bytes that are not read yet.
+    /// Whether the runtime has seen the client's end of the stream, even behind bytes that are not read yet.
     fn is_read_closed(&self) -> bool {
         let stream = self.stream();
         let readiness = stream.inner().ready(Interest::READABLE).now_or_never();
         readiness.is_some_and(|readiness| readiness.map_or(true, Ready::is_read_closed))
     }
 
-    /// Waits until [`Downstream::closed`] has seen the client's end.
-    pub(super) async fn gone(&self) {
+    /// Waits until [`Downstream::wait_until_closed`] has seen the client disconnect.
+    pub(super) async fn wait_until_gone(&self) {
         self.gone.cancelled().await;
     }
 
-    /// Writes no more.
+    /// Shuts down the write side of the connection.
     pub(super) fn shutdown_write(&self) {
         let _ = SockRef::from(self.stream().inner()).shutdown(Shutdown::Write);
     }
 
-    /// Reads and forgets bytes; how many came, none at the connection's end.
+    /// Reads and discards bytes. Returns how many were read, 0 at the end of the connection.
     pub(super) async fn skip(&self) -> usize {
         let read_ahead = std::mem::take(&mut *self.read_ahead()).len();
         if read_ahead > 0 {
@@ -100,15 +101,15 @@
     }
 }
 
-/// A client's connection as the server library uses it: it records in the connection's entry when a request begins and
-/// when an answer is written.
+/// A client's connection in the form that the server library uses. Records in the connection's entry when a request
+/// begins and when an answer has been written.
 pub(super) struct DownstreamIo {
     downstream: Arc<Downstream>,
     entry: Arc<ConnectionEntry>,
 }
 
 impl DownstreamIo {
-    /// The connection that is entered as `entry`.
+    /// Wraps `downstream`, whose stages are recorded in `entry`.
     pub(super) fn new(downstream: Arc<Downstream>, entry: Arc<ConnectionEntry>) -> DownstreamIo {
         DownstreamIo { downstream, entry }
     }
--- a/src/net/listener/handler.rs
+++ b/src/net/listener/handler.rs
@@ -1,4 +1,4 @@
-//! From a request to its one final answer.
+//! Handles a request from its head to its one final answer.
 
 use std::future::pending;
 use std::sync::atomic::Ordering::Relaxed;
@@ -31,18 +31,20 @@
 use crate::net::runtime::metrics::COUNTERS;
 use crate::net::runtime::shutdown::Phase;
 
-/// A client's deadline counts from when it sent; its request took up to this long to come.
+/// Maximum time that a request takes from client to limiter. A client's deadline counts from when it sent the
+/// request.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(2);
-/// The answer to a request whose reply was lost is given this long before the client gives up: after any reply that is
-/// in time.
+/// How long before the client's deadline a request whose reply was lost is answered. Any reply that is in time comes
+/// earlier.
 const LOST_REPLY_MARGIN: Duration = Duration::from_millis(4);
-/// The version of the runtime configuration that a request was accepted under, where limiters agree on versions.
+/// Header for the version of the runtime configuration that a request was accepted under, set where limiters agree on
+/// versions.
 const X_RULES: HeaderName = HeaderName::from_static("x-rules");
 const RETRY_AFTER: HeaderName = HeaderName::from_static("retry-after");
-/// The shortest time that a client is told to wait, as far as it is told one.
+/// Shortest non-zero `Retry-After`.
 const MIN_RETRY_AFTER: Micros = 1_000;
 
-/// What a downstream connection answers.
+/// Returns the routes of the downstream listener.
 pub(super) fn routes(listener: Listener) -> Router {
     Router::new()
         .route("/ready", get(answer_readiness))
@@ -67,29 +69,29 @@
         Ok(head) => head,
         Err(error) => return error.into_response(),
     };
-    listener.figures.record_request_started();
-    let mut pending = PendingRequest { figures: &listener.figures, class: head.class, status: None };
+    listener.stats.record_request_started();
+    let mut pending = PendingRequest { stats: &listener.stats, class: head.class, status: None };
     let received = ReceivedRequest { arrived_at, parts, head, body };
     let response = answer(&listener, received, connection).await;
     pending.status = Some(response.status());
     response
 }
 
-/// A request of a known class until its answer: pending, and then counted by how it ended, or under no end where its
-/// client went away first.
+/// A request of a known class that awaits its answer. When dropped, it is counted by the status of its answer, or is
+/// not counted if the client disconnected first.
 struct PendingRequest<'a> {
-    figures: &'a AdminStats,
+    stats: &'a AdminStats,
     class: usize,
     status: Option<StatusCode>,
 }
 
 impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.figures.record_request_ended(self.class, self.status);
+        self.stats.record_request_ended(self.class, self.status);
     }
 }
 
-/// A request whose head was read, and its body not yet.
+/// A request whose head was read, but not its body.
 struct ReceivedRequest {
     arrived_at: Instant,
     parts: Parts,
@@ -97,7 +99,7 @@
     body: Body,
 }
 
-/// The answer to a request whose head was read.
+/// Returns the answer to a request whose head was read.
 async fn answer(
     listener: &Listener,
     received: ReceivedRequest,
@@ -108,7 +110,7 @@
         Ok(body) => body,
         Err(error) => return error.into_response(),
     };
-    // Guards repeats: under the id of an open request a second copy would reach a backend.
+    // A second request with the id of an open one would reach a backend as a duplicate.
     let Some(open_id) = listener.open_ids.claim(head.id.clone()) else {
         return RequestError::AlreadyOpen.into_response();
     };
@@ -120,7 +122,7 @@
     let (reply, reply_receiver) = oneshot::channel();
     let accepted = listener.accept(arrived_at, &head, forward, reply);
     let (id, deadline) = (accepted.request.id, accepted.deadline);
-    if listener.module.try_send(Message::Accepted(accepted)).is_err() {
+    if listener.control.try_send(Message::Accepted(accepted)).is_err() {
         COUNTERS.turned_away_full.increment();
         return rejection(0);
     }
@@ -131,14 +133,14 @@
         answer_by: deadline - LOST_REPLY_MARGIN.min(head.timeout),
     };
     let mut response = handed_over.await_answer(listener, connection.as_ref()).await;
-    // Guards graceful shutdowns: a client's connection goes with the answer that it waited for.
+    // During a graceful shutdown, each connection closes with the answer that its client waits for.
     if *listener.phase.borrow() != Phase::Serving {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-/// What passes on unchanged to a backend.
+/// Returns what is forwarded unchanged to a backend.
 fn forwarded_request(
     parts: Parts,
     head: &RequestHead,
@@ -149,7 +151,7 @@
     let path = parts.uri.into_parts().path_and_query;
     ForwardedRequest {
         method: parts.method,
-        path: path.expect("a path that was read is there"),
+        path: path.expect("the path was parsed"),
         id,
         key: head.idempotency_key.clone(),
         body,
@@ -158,7 +160,7 @@
 }
 
 impl Listener {
-    /// The request as it is handed over to be decided.
+    /// Builds the message that passes a request to the control actor.
     fn accept(
         &self,
         arrived_at: Instant,
@@ -166,7 +168,8 @@
         forward: ForwardedRequest,
         reply: oneshot::Sender<Answer>,
     ) -> AcceptedRequest {
-        // Guards what is accepted late in a shutdown: the program ends before its client gives up.
+        // Requests accepted late in a shutdown must be answered before the process exits, even if their clients would
+        // wait longer.
         let deadline =
             self.shutdown_deadline.cap(arrived_at + head.timeout.saturating_sub(TRANSIT_ALLOWANCE));
         let request = Request {
@@ -184,7 +187,7 @@
     }
 }
 
-/// A request that is with the module, until its reply.
+/// A request that was passed to the control actor and awaits its reply.
 struct HandedOverRequest {
     id: RequestId,
     client_gone: CancellationToken,
@@ -193,23 +196,23 @@
 }
 
 impl HandedOverRequest {
-    /// The answer: the module's reply, or the one that stands in for a reply that was lost.
+    /// Waits for the control actor's reply. If it is lost, the answer is 504.
     async fn await_answer(self, listener: &Listener, connection: Option<&ClientConnection>) -> Response {
-        let mut client_watch = ClientWatch::new(self.id, listener.module.clone(), self.client_gone);
+        let mut client_watch = ClientWatch::new(self.id, listener.control.clone(), self.client_gone);
         let reply = timeout_at(self.answer_by, self.reply);
         let reply = tokio::select! {
             biased;
             reply = reply => reply,
-            // The connection ends then, and this with it.
-            () = client_closed(connection) => pending().await,
+            // When the client disconnects, the connection ends and this future is dropped with it.
+            () = wait_for_client_close(connection) => pending().await,
         };
         match reply {
             Ok(Ok((reply, version))) => {
                 client_watch.on_answered();
                 reply_response(reply, version)
             }
-            // Guards the one answer in time against a reply lost inside: nobody knows whether the request ran, so it
-            // has failed. The module hears of it as of a client that went away.
+            // Without a reply it is unknown whether the request ran, so it is answered as failed, in time for the
+            // client's deadline. `client_watch` then tells the control actor that the client disconnected.
             _ => {
                 COUNTERS.last_resort.increment();
                 StatusCode::GATEWAY_TIMEOUT.into_response()
@@ -218,16 +221,17 @@
     }
 }
 
-/// Waits for the client's end. Guards against sending on for nobody: the server library sees it only where nothing came
-/// behind the request.
-async fn client_closed(connection: Option<&ClientConnection>) {
+/// Waits until the client disconnects, so that no work is done for a client that has gone. The server library notices
+/// a disconnect only if the client has sent nothing after the request.
+async fn wait_for_client_close(connection: Option<&ClientConnection>) {
     match connection {
-        Some(connection) => connection.downstream.closed().await,
+        Some(connection) => connection.downstream.wait_until_closed().await,
         None => pending().await,
     }
 }
 
-/// The module's reply as a response; `version` is that of the runtime configuration, where there are versions.
+/// Converts the control actor's reply to a response. `version` is that of the runtime configuration, if limiters
+/// agree on versions.
 fn reply_response(reply: Reply, version: Option<u64>) -> Response {
     let mut response = match reply {
         Reply::Served(body) => Response::new(Body::from(body)),
@@ -240,12 +244,12 @@
     response
 }
 
-/// A rejection, with the time after which to come again in seconds.
+/// Returns a 429 response, with `Retry-After` in seconds unless `retry_after` is 0.
 fn rejection(retry_after: Micros) -> Response {
     let mut response = StatusCode::TOO_MANY_REQUESTS.into_response();
     if retry_after > 0 {
         let seconds = format!("{:.3}", retry_after.max(MIN_RETRY_AFTER) as f64 / 1e6);
-        let value = HeaderValue::try_from(seconds).expect("a number is a header's value");
+        let value = HeaderValue::try_from(seconds).expect("a number is a valid header value");
         response.headers_mut().insert(RETRY_AFTER, value);
     }
     response
--- a/src/net/listener/handler/tests.rs
+++ b/src/net/listener/handler/tests.rs
@@ -1,4 +1,4 @@
-//! Answers to requests before a module whose every reply a test gives.
+//! Tests of the answers to requests, with replies given by the test in place of the control actor.
 
 use std::sync::atomic::AtomicU64;
 
@@ -10,9 +10,9 @@
 use tokio::sync::{mpsc, watch};
 use tower_service::Service;
 
-/// The routes before a module of the test's own, whose mailbox holds one message.
+/// Returns the routes, the control actor's mailbox (with capacity for one message) and the phase to set.
 fn routes_and_mailbox() -> (Router, mpsc::Receiver<Message>, watch::Sender<Phase>) {
-    let (module, mailbox) = mpsc::channel(1);
+    let (control, mailbox) = mpsc::channel(1);
     let (phase_sender, phase) = watch::channel(Phase::Serving);
     let names = NameIndex::new(["read"], ["small"], []);
     let listener = Listener {
@@ -21,13 +21,13 @@
         is_ready: Arc::default(),
         phase,
         shutdown_deadline: ShutdownDeadline::default(),
-        module,
+        control,
         next_request_id: AtomicU64::new(1),
         max_units: 4.0,
         limiters: 4,
         max_timeout: Duration::from_secs(8),
         open_ids: OpenRequestIds::default(),
-        figures: Arc::new(AdminStats::new(["read"])),
+        stats: Arc::new(AdminStats::new(["read"])),
     };
     (routes(listener), mailbox, phase_sender)
 }
@@ -51,30 +51,30 @@
     }
 }
 
-/// A reply that never comes, or is lost.
+/// A reply that never comes, and a reply whose sender is dropped, are both answered with 504.
 #[tokio::test(start_paused = true)]
-async fn a_lost_reply_is_answered_504_before_the_client_gives_up() {
+async fn lost_reply_is_answered_504_before_client_deadline() {
     let (mut routes, mut mailbox, _phase) = routes_and_mailbox();
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut answer = routes.call(request("480"));
     assert!(futures_util::poll!(&mut answer).is_pending());
     let handed_over = accepted(mailbox.recv().await);
     assert_eq!((handed_over.request.units, handed_over.request.spread), (2.0, 3));
     assert_eq!(answer.await.map(|a| a.status()), Ok(StatusCode::GATEWAY_TIMEOUT));
-    assert!(begun.elapsed() < Duration::from_millis(480));
+    assert!(started.elapsed() < Duration::from_millis(480));
     assert!(matches!(mailbox.recv().await, Some(Message::Abandoned(id)) if id == handed_over.request.id));
 
     let mut answer = routes.call(request("480"));
     assert!(futures_util::poll!(&mut answer).is_pending());
-    let begun = Instant::now();
+    let started = Instant::now();
     drop(accepted(mailbox.recv().await).reply);
     assert_eq!(answer.await.map(|a| a.status()), Ok(StatusCode::GATEWAY_TIMEOUT));
-    assert_eq!(begun.elapsed(), Duration::ZERO, "at once");
+    assert_eq!(started.elapsed(), Duration::ZERO, "answered at once");
 }
 
-/// A request that comes while the mailbox is full is rejected.
+/// The second request arrives while the mailbox is full and is rejected; the first client then disconnects.
 #[tokio::test]
-async fn a_client_that_leaves_is_reported_also_when_the_mailbox_is_full() {
+async fn client_disconnect_is_reported_despite_full_mailbox() {
     let (mut routes, mut mailbox, _phase) = routes_and_mailbox();
     let mut gone = routes.call(request("480"));
     assert!(futures_util::poll!(&mut gone).is_pending());
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn responses_say_what_the_module_replied() {
+async fn responses_match_replies_of_control_actor() {
     let (mut routes, mut mailbox, phase) = routes_and_mailbox();
     let replies = [
         (Reply::Served("a report".into()), 200, None),
@@ -109,20 +109,20 @@
     assert_eq!(routes.call(ready).await.map(|a| a.status()), Ok(StatusCode::SERVICE_UNAVAILABLE));
 }
 
-/// What a client reads of a request that is not as the platform writes it, to the byte.
+/// The response to a request that the platform would not send states what was expected, byte for byte.
 #[tokio::test]
-async fn a_malformed_request_is_answered_with_what_was_expected() {
-    let metering = "X-Metering is not there once with units, spread and first in range";
+async fn malformed_request_is_answered_with_what_was_expected() {
+    let metering = "expected one X-Metering header with units, spread and first in range";
     let cases = [
-        ("x-class", "write", "X-Class is not there once as the path's class"),
-        ("x-contract", "large", "X-Contract is not there once with a known plan"),
-        ("x-request-id", "", "X-Request-Id is not there once"),
-        ("x-deadline-ms", "+480", "X-Deadline-Ms is not there once as a whole number"),
+        ("x-class", "write", "expected one X-Class header with the class of the path"),
+        ("x-contract", "large", "expected one X-Contract header with a known plan"),
+        ("x-request-id", "", "expected one X-Request-Id header"),
+        ("x-deadline-ms", "+480", "expected one X-Deadline-Ms header with a whole number"),
         ("x-metering", "units=5,spread=3,first=1", metering),
         ("x-metering", "units=2,spread=3,first=4", metering),
         ("x-metering", "units=2,spread=3,spread=3,first=1", metering),
-        ("content-length", "1", "this class has no body"),
-        ("transfer-encoding", "chunked", "a body comes with a Content-Length here"),
+        ("content-length", "1", "this class allows no body"),
+        ("transfer-encoding", "chunked", "expected a Content-Length, not a Transfer-Encoding"),
     ];
     let (mut routes, _mailbox, _phase) = routes_and_mailbox();
     for (name, value, expected) in cases {
@@ -130,7 +130,7 @@
         request.headers_mut().insert(name, HeaderValue::from_static(value));
         let answer = routes.call(request).await.expect("an answer");
         assert_eq!(answer.status(), StatusCode::BAD_REQUEST, "{name}: {value}");
-        assert_eq!(answer.headers().get("connection").expect("it closes"), "close");
+        assert_eq!(answer.headers().get("connection").expect("a connection header"), "close");
         let body = axum::body::to_bytes(answer.into_body(), usize::MAX).await.expect("a body");
         assert_eq!(body, format!("{expected}\n"), "{name}: {value}");
     }
--- a/src/net/listener/mod.rs
+++ b/src/net/listener/mod.rs
@@ -1,9 +1,9 @@
-//! The side towards clients: accepts connections, reads requests, hands them over to be decided and writes the one
-//! final answer to each.
+//! The listener for clients: accepts connections, reads requests, passes them to the control actor and writes exactly
+//! one final answer to each.
 //!
-//! The way of a request through these modules: `accept` takes its connection, which `connection` serves to its end;
-//! `handler` takes the request with `request_head` and `body`, hands it over and answers it. `connections` knows how far
-//! each open connection is, and closes those whose time is up.
+//! A request passes through these modules as follows: `accept` accepts its connection, which `connection` serves
+//! until it ends. `handler` reads the request with `request_head` and `body`, passes it on and answers it.
+//! `connections` tracks the stage of each open connection and closes those whose time is up.
 
 mod accept;
 mod body;
@@ -32,35 +32,36 @@
 
 pub use accept::serve;
 
-/// What the downstream connections share.
+/// State shared by all downstream connections.
 pub struct Listener {
     names: NameIndex,
-    /// By class: whether its requests may be repeated.
+    /// For each class, whether its requests may be repeated.
     idempotency: Vec<Idempotency>,
     is_ready: Arc<AtomicBool>,
     phase: watch::Receiver<Phase>,
     shutdown_deadline: ShutdownDeadline,
-    module: mpsc::Sender<Message>,
+    control: mpsc::Sender<Message>,
     next_request_id: AtomicU64,
-    /// What a request may ask for: units and limiters within the settings, a time to wait no longer than theirs.
+    /// Upper bounds for what a request may ask for: units and limiter numbers from the settings, and the longest
+    /// deadline.
     max_units: f64,
     limiters: u32,
     max_timeout: Duration,
-    /// Requests that are open, by the platform's id.
+    /// Ids of the open requests, as sent by the clients.
     open_ids: OpenRequestIds,
-    figures: Arc<AdminStats>,
+    stats: Arc<AdminStats>,
 }
 
 impl Listener {
-    /// Downstream connections for the classes and plans of `settings`, before the mailbox of `module`.
+    /// Creates the state for the classes and plans of `settings`. Requests are sent to the mailbox behind `control`.
     pub fn new(
         names: NameIndex,
         settings: &Settings,
         max_timeout: Duration,
         is_ready: Arc<AtomicBool>,
         (phase, shutdown_deadline): (watch::Receiver<Phase>, ShutdownDeadline),
-        module: mpsc::Sender<Message>,
-        figures: Arc<AdminStats>,
+        control: mpsc::Sender<Message>,
+        stats: Arc<AdminStats>,
     ) -> Listener {
         let idempotency = settings.classes.iter().map(|c| c.idempotency).collect();
         let max_units = if settings.max_units > 0.0 { settings.max_units } else { f64::MAX };
@@ -70,13 +71,13 @@
             is_ready,
             phase,
             shutdown_deadline,
-            module,
+            control,
             next_request_id: AtomicU64::new(1),
             max_units,
             limiters: settings.limiters.max(1),
             max_timeout,
             open_ids: OpenRequestIds::default(),
-            figures,
+            stats,
         }
     }
 }
--- a/src/net/listener/open_ids.rs
+++ b/src/net/listener/open_ids.rs
@@ -1,7 +1,7 @@
-//! The ids of the requests that are open.
+//! The ids of the open requests.
 //!
-//! The platform names each request by an id of the client's. While one is open no second request may use its id: the
-//! backend would take it for a copy.
+//! Clients name each request by an id. While a request is open, its id can't be used by a second one: the backend
+//! would take the second request for a duplicate.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,19 +10,19 @@
 
 type SharedIds = Arc<Mutex<HashSet<HeaderValue>>>;
 
-/// The ids that are claimed.
+/// The set of claimed ids.
 #[derive(Default)]
 pub struct OpenRequestIds(SharedIds);
 
 impl OpenRequestIds {
-    /// Claims an id, unless it is claimed already.
+    /// Claims an id. Returns `None` if it is already claimed.
     pub fn claim(&self, id: HeaderValue) -> Option<OpenRequestId> {
         let is_new = self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
         is_new.then(|| OpenRequestId { id, ids: self.0.clone() })
     }
 }
 
-/// A claim on an id, until it is dropped.
+/// A claim on an id, released when it is dropped.
 #[derive(Debug)]
 pub struct OpenRequestId {
     id: HeaderValue,
@@ -30,7 +30,7 @@
 }
 
 impl OpenRequestId {
-    /// The id as it came.
+    /// Returns the id as the client sent it.
     pub fn value(&self) -> &HeaderValue {
         &self.id
     }
--- a/src/net/listener/request_error.rs
+++ b/src/net/listener/request_error.rs
@@ -1,4 +1,4 @@
-//! Why a request is answered before it is handed over.
+//! Errors of requests that are answered without the control actor.
 
 use axum::http::{header, StatusCode};
 use axum::response::{IntoResponse, Response};
@@ -6,15 +6,15 @@
 
 use crate::net::runtime::metrics::COUNTERS;
 
-/// Why a request is not handed over to be decided.
+/// Reason why a request is not passed to the control actor.
 #[derive(Debug, PartialEq, Error)]
 pub(super) enum RequestError {
     #[error("no such path")]
     UnknownPath,
-    /// What was expected of the request.
+    /// The request does not meet this expectation.
     #[error("{0}")]
     Malformed(&'static str),
-    #[error("X-Request-Id is open")]
+    #[error("a request with this X-Request-Id is already open")]
     AlreadyOpen,
     #[error("the body is too large")]
     TooLarge,
@@ -29,7 +29,7 @@
             RequestError::TooLarge => (&COUNTERS.too_large, StatusCode::PAYLOAD_TOO_LARGE),
         };
         counter.increment();
-        // Guards against the rest of what was sent being read as a next request.
+        // Closing the connection keeps the rest of this request from being read as the next one.
         (status, [(header::CONNECTION, "close")], format!("{self}\n")).into_response()
     }
 }
--- a/src/net/listener/request_head.rs
+++ b/src/net/listener/request_head.rs
@@ -1,7 +1,7 @@
-//! Reading the platform's path and headers.
+//! Parses the path and headers that the platform defines.
 //!
-//! Guards usual customers: what no usual client says, out of the settings' range or twice, must not reach the decisions,
-//! least of all in a usual customer's name.
+//! Values that no normal client sends (out of the settings' range, or repeated) are rejected here, so that they can't
+//! influence decisions, in particular not in the name of another customer.
 
 use std::time::Duration;
 
@@ -12,59 +12,63 @@
 use super::request_error::RequestError;
 use super::Listener;
 
-/// Customers are numbers below this.
+/// Customer numbers are below this limit.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
 
-/// What a request's path and headers say.
+/// The path and headers of a request, parsed.
 pub(super) struct RequestHead {
     pub(super) class: usize,
     pub(super) plan: usize,
     pub(super) customer: u64,
     pub(super) metering: Metering,
     pub(super) is_retry: bool,
-    /// How long the client waits.
+    /// How long the client waits for an answer.
     pub(super) timeout: Duration,
     pub(super) id: HeaderValue,
     pub(super) idempotency_key: Option<HeaderValue>,
 }
 
-/// What the header X-Metering says.
+/// The values of the X-Metering header.
 #[derive(Debug, PartialEq)]
 pub(super) struct Metering {
+    /// Units that the request costs.
     pub(super) units: f64,
-    /// Over how many limiters the customer's requests are spread.
+    /// Number of limiters over which the customer's requests are spread.
     pub(super) spread: u32,
-    /// The first limiter of the customer's set.
+    /// The first limiter of the customer's subset of limiters.
     pub(super) first: u32,
 }
 
-/// The class and customer that a request's path names.
+/// The class and customer in a request's path.
 struct PathNames<'a> {
     class: &'a str,
     customer: &'a str,
 }
 
 impl RequestHead {
-    /// Reads a request's path and headers; the first thing that is not as expected is the error.
+    /// Parses a request's path and headers. Returns an error for the first unexpected value.
     pub(super) fn parse(listener: &Listener, parts: &Parts) -> Result<RequestHead, RequestError> {
         let headers = &parts.headers;
         let path = path_names(parts.uri.path())?;
         let class = listener.names.class(path.class).ok_or(RequestError::UnknownPath)?;
-        expect(!headers.contains_key(header::TRANSFER_ENCODING), "a body comes with a Content-Length here")?;
+        expect(
+            !headers.contains_key(header::TRANSFER_ENCODING),
+            "expected a Content-Length, not a Transfer-Encoding",
+        )?;
         let customer =
             required(parse_customer(path.customer), "the customer is not 16 hex digits below 2^33")?;
         let named_class = single_text(headers, "x-class");
-        expect(named_class == Some(path.class), "X-Class is not there once as the path's class")?;
+        expect(named_class == Some(path.class), "expected one X-Class header with the class of the path")?;
         let plan = single_text(headers, "x-contract").and_then(|n| listener.names.plan(n));
-        let plan = required(plan, "X-Contract is not there once with a known plan")?;
-        // The platform sets no form for the id: it passes on as it came.
+        let plan = required(plan, "expected one X-Contract header with a known plan")?;
+        // The platform defines no format for the id, so it is forwarded as received.
         let id = single_value(headers, "x-request-id").cloned();
-        let id = required(id, "X-Request-Id is not there once")?;
+        let id = required(id, "expected one X-Request-Id header")?;
         let timeout_ms = single_text(headers, "x-deadline-ms").and_then(parse_milliseconds);
-        let timeout_ms = required(timeout_ms, "X-Deadline-Ms is not there once as a whole number")?;
+        let timeout_ms = required(timeout_ms, "expected one X-Deadline-Ms header with a whole number")?;
         let metering = single_text(headers, "x-metering").and_then(|t| Metering::parse(listener, t));
         let metering =
-            required(metering, "X-Metering is not there once with units, spread and first in range")?;
+            required(metering, "expected one X-Metering header with units, spread and first in range")?;
         let idempotency_key = single_value(headers, "idempotency-key").cloned();
         let is_retry = single_text(headers, "x-retry") == Some("1");
         check_class_rules(listener.idempotency[class], parts, idempotency_key.is_some())?;
@@ -85,7 +89,7 @@
     value.ok_or(RequestError::Malformed(expected))
 }
 
-/// The names in `/CLASS/CUSTOMER`.
+/// Parses a path of the form `/CLASS/CUSTOMER`.
 fn path_names(path: &str) -> Result<PathNames<'_>, RequestError> {
     let mut names = path.strip_prefix('/').unwrap_or_default().split('/');
     match (names.next(), names.next(), names.next()) {
@@ -94,7 +98,7 @@
     }
 }
 
-/// The value of a header that is there just once and is not empty.
+/// Returns the value of a header that occurs exactly once and is not empty.
 fn single_value<'a>(headers: &'a HeaderMap, name: &'static str) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|v| !v.is_empty() && values.next().is_none())
@@ -115,7 +119,7 @@
     is_number.then(|| text.parse().ok()).flatten()
 }
 
-/// Checks the method, body and idempotency key that a class of this kind uses.
+/// Checks that the method, body and idempotency key are those of the class.
 fn check_class_rules(
     idempotency: Idempotency,
     parts: &Parts,
@@ -123,20 +127,20 @@
 ) -> Result<(), RequestError> {
     match idempotency {
         Idempotency::Idempotent => {
-            expect(parts.method == Method::GET, "this class uses GET")?;
+            expect(parts.method == Method::GET, "this class requires GET")?;
             let is_empty = parts.headers.get(header::CONTENT_LENGTH).is_none_or(|l| l == "0");
-            expect(is_empty, "this class has no body")
+            expect(is_empty, "this class allows no body")
         }
         Idempotency::IdempotencyKey { .. } => {
-            expect(parts.method == Method::POST, "this class uses POST")?;
-            expect(has_idempotency_key, "Idempotency-Key is not there once")
+            expect(parts.method == Method::POST, "this class requires POST")?;
+            expect(has_idempotency_key, "expected one Idempotency-Key header")
         }
-        Idempotency::NotIdempotent => expect(parts.method == Method::POST, "this class uses POST"),
+        Idempotency::NotIdempotent => expect(parts.method == Method::POST, "this class requires POST"),
     }
 }
 
 impl Metering {
-    /// Units, spread and first of `units=2,spread=3,first=1`, each there once and within the settings.
+    /// Parses `units=2,spread=3,first=1`: each name must occur exactly once, with a value allowed by the settings.
     fn parse(listener: &Listener, text: &str) -> Option<Metering> {
         let (mut units, mut spread, mut first) = (None, None, None);
         for pair in text.split(',') {
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start of the limiter on sockets: which actors there are, and how they are connected.
+//! Startup of the limiter on sockets: creates the actors and connects them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -37,14 +37,14 @@
 use crate::net::upstream::UpstreamShared;
 use crate::say;
 
-/// Capacity of the control actor's mailbox.
+/// Capacity of the mailbox of the control actor.
 const MESSAGE_MAILBOX: usize = 4096;
-/// Capacity of the mailboxes for endpoint changes, counter calls, peers' datagrams and outcome counts.
+/// Capacity of the mailboxes for endpoint changes, quota counter calls, peer datagrams and outcome counts.
 const SMALL_MAILBOX: usize = 256;
 /// Capacity of the mailboxes for operators' calls.
 const CONTROL_MAILBOX: usize = 16;
 
-/// Why the limiter could not start, or stopped serving.
+/// Reason why the limiter could not start, or stopped serving.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     #[error("{0}")]
@@ -57,22 +57,22 @@
     AdminListen(#[from] admin::BindError),
     #[error("peer_listen: {address}: {source}")]
     PeerListen { address: SocketAddr, source: io::Error },
-    #[error("the list's mailbox is full")]
+    #[error("the mailbox for endpoint changes is full")]
     EndpointMailbox,
     #[error(transparent)]
     Consensus(#[from] ConsensusStartError),
     #[error("listen: {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
-    #[error("the module ended: {0:?}")]
+    #[error("the control actor ended: {0:?}")]
     ControlActor(Result<(), JoinError>),
-    #[error("the capture's thread broke")]
+    #[error("the capture thread panicked")]
     CaptureThread,
 }
 
-/// Starts all actors and serves until the process is to end.
+/// Starts all actors and serves until the process must exit.
 ///
 /// # Errors
-/// Names what could not start, or which part ended early.
+/// Returns an error that names what could not start, or which part ended early.
 pub async fn run(
     config: Config,
     tier: Option<TierSettings>,
@@ -86,7 +86,7 @@
     let admin_listener = bind_admin(&config).await?;
     let stats = Arc::new(AdminStats::new(config.settings.classes.iter().map(|class| class.name.as_str())));
     let upstream = Arc::new(upstream(&config, &messages, &stats));
-    let (moves, addresses) = watch::channel(config.addresses);
+    let (address_updates, addresses) = watch::channel(config.addresses);
     let counter = start_quota_counter(&config, &addresses, &messages);
     let tier = tier.map(|settings| with_configured_rules(settings, &config)).transpose()?;
     let (replica_datagrams, replica_mailbox) = mpsc::channel(SMALL_MAILBOX);
@@ -134,21 +134,22 @@
     }
     let longest_deadline = config::duration(config.limits.longest_deadline);
     let shutdown_deadline = ShutdownDeadline::default();
-    let ends = (stopping, shutdown_deadline.clone());
+    let shutdown = (stopping, shutdown_deadline.clone());
     let listener =
-        Listener::new(config.names, &config.settings, longest_deadline, ready, ends, messages, stats);
+        Listener::new(config.names, &config.settings, longest_deadline, ready, shutdown, messages, stats);
     let address = config.listen;
     tokio::select! {
         served = listener::serve(address, config.downstream_connections, listener) => {
             served.map_err(|source| RunError::Listen { address, source })
         }
-        () = signals.follow(phase, moves, longest_deadline, shutdown_deadline) => Ok(()),
+        () = signals.follow(phase, address_updates, longest_deadline, shutdown_deadline) => Ok(()),
         ended = control_actor => Err(RunError::ControlActor(ended)),
     }
 }
 
-/// What a limiter of a tier goes by.
+/// Settings of a limiter that belongs to a tier.
 struct Tier {
+    /// What the configuration file sets for the values that documents may change.
     settings: TierSettings,
     configured: ConfiguredRules,
 }
@@ -162,13 +163,13 @@
     }
 }
 
-/// What the consensus actor receives beside operators' calls.
+/// What the consensus actor receives besides operators' calls.
 struct ReplicaInputs {
     datagrams: mpsc::Receiver<Vec<u8>>,
     outcomes: mpsc::Receiver<SecondOutcomes>,
 }
 
-/// Waits until the process that this one replaces has left its addresses, where the settings ask for that.
+/// Waits until the process that this one replaces has released its addresses, if the settings set a wait.
 async fn wait_for_predecessor(config: &Config, tier: Option<&TierSettings>) {
     if let Some(tier) = tier.filter(|tier| tier.handover_wait > 0) {
         let deadline = Instant::now() + config::duration(tier.handover_wait);
@@ -192,7 +193,7 @@
     }
 }
 
-/// Starts the actor of the quota counter, where the platform has one.
+/// Starts the actor that calls the quota counter, if the platform has one.
 fn start_quota_counter(
     config: &Config,
     addresses: &watch::Receiver<Addresses>,
@@ -211,7 +212,7 @@
     Ok(Tier { settings, configured })
 }
 
-/// Starts the actor of the other limiters, where there are any and the platform lets them exchange datagrams.
+/// Starts the actor that exchanges datagrams with the other limiters, if there are any and the platform allows it.
 async fn start_peers(
     config: &Config,
     messages: &mpsc::Sender<Message>,
@@ -220,7 +221,8 @@
     let (Some(address), true) = (config.peer_listen, config.settings.peer_messages) else {
         return Ok(None);
     };
-    // Guards votes: two processes under one number would be one replica that votes twice.
+    // Consensus requires that only one process holds the address: two processes with the same number would be one
+    // replica that votes twice.
     let is_shared = replica_datagrams.is_none();
     let (peers, own) = (config.peers.clone(), config.settings.limiter);
     let actor = Peers::bind(address, peers, config.peers_all, own, is_shared)
@@ -231,7 +233,7 @@
     Ok(Some(datagrams))
 }
 
-/// The recorder of outcomes, where a tier watches its changes, and the receiver of what it counts.
+/// Returns the recorder of outcomes, if the tier has canary analysis, and the receiver of the counts that it reports.
 fn outcome_recorder(
     config: &Config,
     tier: Option<&Tier>,
@@ -242,7 +244,7 @@
     (recorder, second_outcomes)
 }
 
-/// Starts to watch discovery; the endpoints that the configuration names come first.
+/// Starts to watch discovery. The endpoints from the configuration are the first change.
 fn start_discovery(
     config: &Config,
     addresses: watch::Receiver<Addresses>,
@@ -253,7 +255,7 @@
     Ok(changes)
 }
 
-/// Starts the agreement on versions of the runtime configuration.
+/// Starts the consensus on versions of the runtime configuration.
 async fn start_consensus(
     config: &Config,
     tier: Tier,
@@ -281,31 +283,32 @@
     Ok(calls)
 }
 
-/// Starts to serve the operators' address, and to follow the file of cordons that another process may change.
+/// Starts to serve the operators' address, and to watch the file of cordons, which another process may change.
 fn start_admin(
     listener: TcpListener,
     config: &Config,
-    stats: Arc<AdminStats>,
+    admin_stats: Arc<AdminStats>,
     phase: watch::Sender<Phase>,
     control: mpsc::Sender<Control>,
     operator_calls: Option<mpsc::Sender<OperatorRequest>>,
 ) {
-    let (store, order) = (config.cordons.clone(), Arc::<Mutex<()>>::default());
-    if let Some(store) = store.clone() {
-        tokio::spawn(cordons::watch_file(store, order.clone(), control.clone()));
+    let (cordon_file, cordon_lock) = (config.cordons.clone(), Arc::<Mutex<()>>::default());
+    if let Some(file) = cordon_file.clone() {
+        tokio::spawn(cordons::watch_file(file, cordon_lock.clone(), control.clone()));
     }
-    let admin = Admin { figures: stats, phase, control, store, order, tier: operator_calls };
+    let admin =
+        Admin { stats: admin_stats, phase, control, cordon_file, cordon_lock, consensus: operator_calls };
     tokio::spawn(admin::serve(listener, admin));
 }
 
-/// A capture under way: the control actor's side of it, and the thread that writes the file.
+/// A running capture: the control actor's handle to it, and the thread that writes the file.
 pub struct Capture {
     pub recorder: CaptureRecorder,
     pub thread: JoinHandle<()>,
 }
 
-/// Begins the capture that the settings ask for. Guards the service: a capture that can't begin is logged and left
-/// out.
+/// Starts the capture that the settings ask for. A capture that can't start is logged and skipped, so that it does
+/// not keep the limiter from serving.
 pub fn start_capture(settings: &Settings, config: &Config) -> Option<Capture> {
     let capture = settings.capture.as_ref()?;
     let started = Clock::start().now();
