--- a/src/cli.rs
+++ b/src/cli.rs
@@ -54,7 +54,7 @@
 /// Returns for how long two versions of a tier may overlap, in words; empty without a tier.
 fn version_overlap(settings: &settings::Settings) -> String {
     let tier = settings.tier.as_ref();
-    tier.map_or(String::new(), |tier| format!("; {}", tier.version_overlap_in_words()))
+    tier.map_or(String::new(), |tier| format!("; {}", tier.describe_version_overlap()))
 }
 
 /// Checks a file. Returns the answer to print, and whether the file is valid.
--- a/src/net/admin/drain.rs
+++ b/src/net/admin/drain.rs
@@ -1,4 +1,4 @@
-//! Calls that tell whether the limiter takes clients, drain it, and end a drain.
+//! Calls that report the limiter's health, drain it, and end a drain.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
 use super::Admin;
 use crate::net::runtime::shutdown::Phase;
 
-/// Succeeds while the process takes clients: from its start until it stops accepting.
+/// Succeeds while the process accepts clients: from its start until the listener closes.
 pub(super) async fn health(State(admin): State<Arc<Admin>>) -> Response {
     match *admin.phase.borrow() {
-        Phase::Closing => error(StatusCode::SERVICE_UNAVAILABLE, "no longer taking clients"),
+        Phase::Closing => error(StatusCode::SERVICE_UNAVAILABLE, "no longer accepting clients"),
         phase => ok(format!("{{\"taking\":true,\"draining\":{}}}\n", phase != Phase::Serving)),
     }
 }
 
-/// Drains the limiter: `/ready` says no, and each client's connection closes after the answer it waits for.
+/// Drains the limiter: `/ready` answers 503, and each client's connection closes after its next answer.
 pub(super) async fn quiesce(State(admin): State<Arc<Admin>>, headers: HeaderMap) -> Response {
     if has_body(&headers) {
         return unexpected_body();
@@ -27,7 +27,7 @@
     ok("{\"draining\":true}\n".into())
 }
 
-/// Ends a drain: `/ready` says yes again. A limiter that is shutting down goes on doing so.
+/// Ends a drain: `/ready` answers 200 again. A shutdown in progress is not affected.
 pub(super) async fn resume(State(admin): State<Arc<Admin>>, headers: HeaderMap) -> Response {
     if has_body(&headers) {
         return unexpected_body();
@@ -40,7 +40,7 @@
     }
 }
 
-/// Changes the phase if it is `from`; whether it was.
+/// Changes the phase to `to` if it is `from`. Returns whether it was.
 fn change_phase(admin: &Admin, from: Phase, to: Phase) -> bool {
     admin.phase.send_if_modified(|phase| {
         let is_from = *phase == from;
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,9 +1,9 @@
 //! The operators' address: health, statistics, cordons, drains and the runtime configuration.
 //!
-//! It has an accept loop of its own with capacity for [`MAX_CONNECTIONS`], apart from the clients' traffic: calls to
-//! the control actor go through a mailbox that no client request uses. Each connection carries one call and has
-//! [`CALL_TIMEOUT`] from its accept to its answer; a caller that sends nothing, or half a call, is closed then and
-//! takes up capacity no longer.
+//! It has its own accept loop with capacity for [`MAX_CONNECTIONS`], separate from the clients' traffic. Calls reach
+//! the control actor through a mailbox that no client request uses. Each connection carries one call and has
+//! [`CALL_TIMEOUT`] from its accept to its answer. If the caller sends nothing, or an incomplete call, the connection
+//! is then closed and its capacity is freed.
 
 mod cordon;
 mod drain;
@@ -37,29 +37,29 @@
 use crate::net::runtime::socket_errors;
 use crate::say;
 
-/// Connections served at once; the next waits in the listener's queue.
+/// Maximum number of connections served at a time. Further ones wait in the listener's queue.
 pub const MAX_CONNECTIONS: usize = 16;
-/// From accept to the last byte of the answer.
+/// Time from the accept of a connection to the last byte of the answer.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// The head of a call, with all its header lines, is no longer.
+/// Maximum size of the head of a call, with all its header lines.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Backoff after an accept that failed: file descriptors come free in this time, and not at once.
+/// Backoff after a failed accept: file descriptors become free within this time, but not at once.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// What the calls of the operators' address share.
+/// State shared by all calls to the operators' address.
 pub struct Admin {
     pub stats: Arc<AdminStats>,
     pub phase: watch::Sender<Phase>,
     pub control: mpsc::Sender<Control>,
-    /// The file that stores the set of cordoned backends, if any.
+    /// The file that stores the cordoned backends, if any.
     pub cordon_file: Option<PathBuf>,
-    /// Locked by whoever changes the set: see [`cordons::watch_file`](crate::net::control::cordons::watch_file).
+    /// Locked while the cordons are changed; see [`cordons::watch_file`](crate::net::control::cordons::watch_file).
     pub cordon_lock: Arc<Mutex<()>>,
-    /// The consensus actor, where limiters agree on versions of the runtime configuration.
+    /// The mailbox of the consensus actor, if limiters agree on versions of the runtime configuration.
     pub consensus: Option<mpsc::Sender<OperatorRequest>>,
 }
 
-/// The operators' address can't be bound; the text names the key of the configuration.
+/// The operators' address can't be bound. The message begins with the configuration key, `ops`.
 #[derive(Debug, thiserror::Error)]
 #[error("ops: {address}: {source}")]
 pub struct BindError {
@@ -70,7 +70,7 @@
 /// Binds the operators' address.
 ///
 /// # Errors
-/// Where the address can't be bound; the daemon then doesn't start.
+/// Returns an error if the address can't be bound. The daemon then does not start.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, BindError> {
     let bind_error = |source| BindError { address, source };
     let listener = TcpListener::bind(address).await.map_err(bind_error)?;
--- a/src/net/admin/rules.rs
+++ b/src/net/admin/rules.rs
@@ -1,4 +1,4 @@
-//! Calls that read and change the runtime configuration, where limiters agree on versions of it.
+//! Calls that read and change the runtime configuration, if limiters agree on versions of it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use super::Admin;
 use crate::net::consensus::OperatorCall;
 
-/// Passes a call on to the consensus actor, where there is one, and gives its answer.
+/// Passes a call to the consensus actor, if there is one, and returns its answer.
 async fn call_consensus(admin: &Admin, call: OperatorCall) -> Response {
     let Some(consensus) = &admin.consensus else {
-        return error(StatusCode::NOT_FOUND, "no tier: the settings have no block tier");
+        return error(StatusCode::NOT_FOUND, "no tier: the settings have no tier block");
     };
     let (reply, answer) = oneshot::channel();
     if consensus.try_send((call, reply)).is_err() {
@@ -33,15 +33,18 @@
     }
 }
 
-/// The versions and their state.
+/// Returns the versions and their state.
 pub(super) async fn status(State(admin): State<Arc<Admin>>) -> Response {
     call_consensus(&admin, OperatorCall::Status).await
 }
 
-/// Checks the document in the body, and holds it ready for a commit.
+/// Checks the document in the body and stages it for a commit.
 pub(super) async fn stage(State(admin): State<Arc<Admin>>, body: Body) -> Response {
     let Ok(body) = Limited::new(body, MAX_DOCUMENT_BYTES).collect().await else {
-        return error(StatusCode::PAYLOAD_TOO_LARGE, &format!("at most {MAX_DOCUMENT_BYTES} bytes, whole"));
+        return error(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            &format!("expected a whole document of at most {MAX_DOCUMENT_BYTES} bytes"),
+        );
     };
     match String::from_utf8(body.to_bytes().into()) {
         Ok(text) => call_consensus(&admin, OperatorCall::Stage { text }).await,
@@ -49,7 +52,7 @@
     }
 }
 
-/// Begins a change to a staged document.
+/// Proposes the change to a staged document.
 pub(super) async fn commit(State(admin): State<Arc<Admin>>, uri: Uri) -> Response {
     match parse_commit(uri.query().unwrap_or_default()) {
         Ok(call) => call_consensus(&admin, call).await,
@@ -57,28 +60,28 @@
     }
 }
 
-/// Reads a commit's query: `digest=HEX`; `scope=all` for a change that every limiter must answer, `except=N` for each
-/// that need not; `force=yes` where the active version is pinned.
+/// Parses the query of a commit: `digest=HEX`; `scope=all` if every limiter must answer, with `except=N` for each
+/// that need not; `force=yes` if the active version is pinned.
 fn parse_commit(query: &str) -> Result<OperatorCall, String> {
-    let (mut digest, mut everyone, mut except, mut force) = (None, false, BTreeSet::new(), false);
+    let (mut digest, mut require_all, mut except, mut force) = (None, false, BTreeSet::new(), false);
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
-        let is_understood = match pair.split_once('=') {
+        let is_valid = match pair.split_once('=') {
             Some(("digest", hex)) if !hex.is_empty() => digest.replace(hex.to_string()).is_none(),
-            Some(("scope", "all")) => !std::mem::replace(&mut everyone, true),
+            Some(("scope", "all")) => !std::mem::replace(&mut require_all, true),
             Some(("scope", "majority")) => true,
             Some(("force", "yes")) => !std::mem::replace(&mut force, true),
             Some(("except", number)) => number.parse().is_ok_and(|number| except.insert(number)),
             _ => false,
         };
-        if !is_understood {
+        if !is_valid {
             return Err(format!("{pair}: expected digest=, scope=majority|all, except=N, force=yes"));
         }
     }
     let digest = digest.ok_or("expected digest=HEX")?;
-    Ok(OperatorCall::Commit { digest, everyone, except, force })
+    Ok(OperatorCall::Commit { digest, require_all, except, force })
 }
 
-/// Whether a call's query is `option`; any other than that or none is an error.
+/// Returns whether the query is `option`. An empty query is false; any other is an error.
 fn parse_option(uri: &Uri, option: &str) -> Result<bool, String> {
     match uri.query().unwrap_or_default() {
         "" => Ok(false),
@@ -87,7 +90,7 @@
     }
 }
 
-/// Begins the change back to the version before; `force=yes` where the active version is pinned.
+/// Proposes the change back to the previous version; `force=yes` if the active version is pinned.
 pub(super) async fn undo(State(admin): State<Arc<Admin>>, uri: Uri) -> Response {
     match parse_option(&uri, "force=yes") {
         Ok(force) => call_consensus(&admin, OperatorCall::Undo { force }).await,
@@ -95,12 +98,12 @@
     }
 }
 
-/// Begins a version with the same values that canary analysis does not watch.
+/// Proposes a version with the same values that canary analysis does not watch.
 pub(super) async fn hold(State(admin): State<Arc<Admin>>) -> Response {
     call_consensus(&admin, OperatorCall::Hold { pinned: false }).await
 }
 
-/// Begins a version with the same values that only a forced change may replace; `off=yes` ends that.
+/// Proposes a version with the same values that only a forced change may replace; `off=yes` proposes to end that.
 pub(super) async fn pin(State(admin): State<Arc<Admin>>, uri: Uri) -> Response {
     match parse_option(&uri, "off=yes") {
         Ok(true) => call_consensus(&admin, OperatorCall::Unpin).await,
@@ -109,7 +112,7 @@
     }
 }
 
-/// Goes on from the state that is left, where a majority of the limiters has lost its own.
+/// Continues from the remaining state after a majority of the limiters has lost its own.
 pub(super) async fn adopt(State(admin): State<Arc<Admin>>) -> Response {
     call_consensus(&admin, OperatorCall::Adopt).await
 }
--- a/src/net/admin/stats.rs
+++ b/src/net/admin/stats.rs
@@ -1,14 +1,15 @@
-//! The statistics that operators read at `/admin/stats`: written where each event happens, read without a lock.
+//! Statistics for operators, served at `/admin/stats`. They are written where each event happens and read without a
+//! lock.
 //!
-//! All start at 0 with the process. Each count has one writer: answers the listener, attempts the upstream connection
-//! that wrote them, endpoints the control actor.
+//! All start at 0 with the process. Each count has one writer: the listener for answers, the upstream connection for
+//! the attempts that it wrote, and the control actor for endpoints.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 
 use axum::http::StatusCode;
 use serde_json::{json, Map, Value};
 
-/// Counts of the answers of one class.
+/// Counts the answers of one class by result.
 struct ClassStats {
     name: String,
     completed: AtomicU64,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// The count under which an answer falls.
+    /// Returns the counter for an answer with `status`.
     fn count(&self, status: StatusCode) -> &AtomicU64 {
         if status.is_success() {
             &self.completed
@@ -46,21 +47,22 @@
     }
 }
 
-/// The statistics of one process.
+/// The statistics of the process.
 pub struct AdminStats {
     classes: Vec<ClassStats>,
     attempts: AtomicU64,
     pending: AtomicI64,
     backends: AtomicU64,
     unavailable_backends: AtomicU64,
-    /// The active version of the runtime configuration; [`NO_VERSION`] where there are no versions.
+    /// Active version of the runtime configuration, or [`NO_VERSION`] if there are no versions.
     active_version: AtomicU64,
 }
 
+/// Value of `active_version` while limiters do not agree on versions.
 const NO_VERSION: u64 = u64::MAX;
 
 impl AdminStats {
-    /// Statistics of the classes named, in the order of their places in the settings.
+    /// Creates statistics for the named classes, in the order of the settings.
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a str>) -> AdminStats {
         AdminStats {
             classes: classes.into_iter().map(ClassStats::new).collect(),
@@ -72,13 +74,14 @@
         }
     }
 
-    /// A request whose class is known was accepted: it is pending until [`AdminStats::record_request_ended`].
+    /// Records that a request of a known class was received. It is pending until
+    /// [`AdminStats::record_request_ended`].
     pub fn record_request_started(&self) {
         self.pending.fetch_add(1, Relaxed);
     }
 
-    /// A request of the class at place `class` ended; `status` is its answer's, `None` where its client went away
-    /// first and there is no answer to count.
+    /// Records that a request of class `class`, an index into the settings, has ended with `status`. `None` means
+    /// that its client disconnected first, so that there is no answer to count.
     pub fn record_request_ended(&self, class: usize, status: Option<StatusCode>) {
         self.pending.fetch_sub(1, Relaxed);
         if let (Some(class), Some(status)) = (self.classes.get(class), status) {
@@ -86,12 +89,12 @@
         }
     }
 
-    /// An attempt was written whole to a backend.
+    /// Records that an attempt was written completely to a backend.
     pub fn record_attempt_written(&self) {
         self.attempts.fetch_add(1, Relaxed);
     }
 
-    /// How many backends the endpoint list names, and how many of them get no new requests now.
+    /// Sets the number of backends in the endpoint list, and how many of them currently get no new requests.
     pub fn set_backend_counts(&self, all: usize, unavailable: usize) {
         self.backends.store(all as u64, Relaxed);
         self.unavailable_backends.store(unavailable as u64, Relaxed);
@@ -102,8 +105,8 @@
         self.active_version.store(version, Relaxed);
     }
 
-    /// All statistics as JSON: `downstream_requests.CLASS.completed|rejected|failed`, `upstream_requests`,
-    /// `pending`, `members`, `members_unavailable`, and where limiters agree on versions, `rules`.
+    /// Returns all statistics as JSON: `downstream_requests.CLASS.completed|rejected|failed`, `upstream_requests`,
+    /// `pending`, `members`, `members_unavailable`, and `rules` if limiters agree on versions.
     pub fn json(&self) -> Value {
         let classes: Map<String, Value> =
             self.classes.iter().map(|class| (class.name.clone(), class.json())).collect();
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the calls of the operators' address.
+//! Tests of the calls to the operators' address.
 
 use axum::body::Body;
 use axum::http::header;
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn malformed_calls_are_rejected_and_reach_nobody() {
+async fn malformed_calls_are_rejected_without_reaching_control_actor() {
     let (mut routes, mut calls, _) = admin();
     for (method, uri, body, status) in [
         ("PUT", "/admin/cordon", "", 400),
@@ -49,13 +49,13 @@
     ] {
         assert_eq!(call(&mut routes, method, uri, body).await.0, status, "{method} {uri}");
     }
-    assert!(calls.try_recv().is_err(), "no call reached the module");
+    assert!(calls.try_recv().is_err(), "no call reached the control actor");
 }
 
 #[tokio::test]
-async fn a_cordon_is_answered_as_the_control_actor_decides() {
+async fn cordon_answer_follows_control_actor() {
     let (mut routes, mut calls, _) = admin();
-    let module = tokio::spawn(async move {
+    let control_actor = tokio::spawn(async move {
         while let Some(Control::Cordon { name, cordoned, reply }) = calls.recv().await {
             let known = name == "w%1" || name == "w2";
             let names = if cordoned { vec![name] } else { vec![] };
@@ -72,7 +72,7 @@
     );
     assert_eq!(call(&mut routes, "PUT", "/admin/cordon?name=w9", "").await.0, 404);
     drop(routes);
-    module.await.expect("the stand-in ends");
+    control_actor.await.expect("the stand-in ends");
 }
 
 #[tokio::test]
--- a/src/net/canary.rs
+++ b/src/net/canary.rs
@@ -1,6 +1,6 @@
-//! The canary analysis of a change in this limiter: its own outcomes by plan and second, the sums over all limiters,
-//! and whether the change is to be rolled back. It does no I/O: the consensus actor sends and receives its datagrams
-//! and proposes the rollback.
+//! Canary analysis of a change in this limiter: its own outcomes by plan and second, the sums over all limiters, and
+//! whether to roll the change back. It does no I/O: the consensus actor sends and receives its datagrams and proposes
+//! the rollback.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,10 +13,11 @@
 #[cfg(test)]
 mod tests;
 
-/// The outcomes of one second: by version and plan, how many requests ended, and of them those served in time.
+/// The outcomes of one second: by version and plan, how many requests ended, and how many of them were served in
+/// time.
 #[derive(Debug, Default, PartialEq)]
 pub struct SecondOutcomes {
-    /// Unix seconds by this limiter's clock.
+    /// The second, in Unix time by this limiter's clock.
     pub second: u64,
     pub versions: BTreeMap<Slot, Vec<OutcomeCounts>>,
 }
@@ -29,12 +30,12 @@
 }
 
 impl OutcomeRecorder {
-    /// Counts the requests of so many plans.
+    /// Creates a recorder for requests of `plans` plans.
     pub fn new(plans: usize, reports: mpsc::Sender<SecondOutcomes>) -> OutcomeRecorder {
         OutcomeRecorder { current: SecondOutcomes::default(), plans, reports }
     }
 
-    /// A request of a plan, by its place in the configuration, has ended.
+    /// Records that a request of plan `plan`, an index into the configuration, has ended.
     pub fn record(&mut self, version: Slot, plan: usize, in_time: bool) {
         let plans = self
             .current
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Reports the current second once it has passed. The analysis expects that a second may come late or never: a full
-    /// mailbox drops it.
+    /// Reports the current second once it has passed. The report is dropped if the mailbox is full: the analysis
+    /// tolerates seconds that arrive late or never.
     pub fn flush_finished_seconds(&mut self, now: Micros) {
         let second = now / 1_000_000;
         if second != self.current.second {
@@ -60,7 +61,7 @@
     }
 }
 
-/// Requests that ended, and of them those served in time.
+/// Number of requests that ended, and how many of them were served in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
     pub ended: u32,
@@ -74,27 +75,27 @@
     }
 }
 
-/// One change that is watched.
+/// A change under canary analysis.
 struct WatchedChange {
     version: Slot,
     digest: Digest,
-    /// By plan: whether the change touches it.
+    /// For each plan, whether the change affects it.
     touched: Vec<bool>,
     outcomes: OutcomeAggregator,
     analysis: CanaryAnalysis,
     verdict: Verdict,
     /// Whether another document has become active.
     is_replaced: bool,
-    /// Whether that document has the same figures: then the change was held.
+    /// Whether the document that became active has the same values, so that the change was held rather than replaced.
     is_held: bool,
-    /// Limiters in the latest sum.
+    /// Number of limiters in the latest sum.
     limiters: ReplicaId,
-    /// Seconds judged before and after the change.
+    /// Number of seconds evaluated before and after the change.
     seconds_before: usize,
     seconds_after: usize,
 }
 
-/// What follows from a step.
+/// Result of one step of the analysis.
 #[derive(Default)]
 pub struct CanaryStep {
     /// Datagrams to send.
@@ -102,34 +103,35 @@
     pub rollback: Option<Rollback>,
 }
 
-/// A change that is to be rolled back.
+/// A change to roll back.
 pub struct Rollback {
     /// The document that the change made active.
     pub digest: Digest,
-    /// By what share service fell in the plans that it touches, compared with the others.
+    /// How far the share of requests served in time fell in the plans that the change affects, compared with the
+    /// other plans.
     pub drop: f64,
 }
 
-/// The canary analysis of this limiter.
+/// The canary analysis in this limiter.
 pub struct CanaryWatch {
     settings: Settings,
     own: ReplicaId,
     replicas: ReplicaId,
-    /// What was counted here lately.
+    /// The outcomes counted here in the latest seconds.
     recent: VecDeque<SecondOutcomes>,
     /// The latest change that was watched.
     change: Option<WatchedChange>,
     /// The second of the latest step.
-    stepped_at: u64,
+    last_step_second: u64,
 }
 
 impl CanaryWatch {
-    /// An analysis over all replicas, by settings that were checked.
+    /// Creates an analysis over all replicas. `settings` must have been checked.
     pub fn new(settings: Settings, own: ReplicaId, replicas: ReplicaId) -> CanaryWatch {
-        CanaryWatch { settings, own, replicas, recent: VecDeque::new(), change: None, stepped_at: 0 }
+        CanaryWatch { settings, own, replicas, recent: VecDeque::new(), change: None, last_step_second: 0 }
     }
 
-    /// A version that touches these plans became active at `activated_at`.
+    /// Starts to watch a version that became active at `activated_at`. `touched` marks the plans that it affects.
     pub fn begin(&mut self, version: Slot, digest: Digest, activated_at: Micros, touched: Vec<bool>) {
         let spans = (self.settings.before_s, self.settings.watch_s);
         let Ok(analysis) = CanaryAnalysis::new(self.settings.clone()) else { return };
@@ -150,14 +152,15 @@
         self.change = Some(watched);
     }
 
-    /// `digest` became active: another document is no longer watched. `held` says that both have the same figures.
+    /// Records that `digest` became active. If it is another document, the change is no longer watched. `held` tells
+    /// that both documents have the same values.
     pub fn on_version_active(&mut self, digest: Digest, held: bool) {
         if let Some(watched) = self.change.as_mut().filter(|w| w.digest != digest && !w.is_replaced) {
             (watched.is_replaced, watched.is_held) = (true, held);
         }
     }
 
-    /// Records what was counted here in a second of the replicas' clock.
+    /// Records the outcomes counted here in one second of the replicas' clock.
     pub fn record_second(&mut self, outcomes: SecondOutcomes) {
         if let Some(watched) = self.watched() {
             watched.count(&outcomes);
@@ -168,15 +171,15 @@
         }
     }
 
-    /// Handles a datagram of another replica.
+    /// Handles a datagram from another replica.
     ///
     /// # Errors
-    /// Where it is damaged, or about a version that is not watched here.
+    /// Returns an error if the datagram is damaged, or concerns a version that is not watched here.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), DatagramError> {
         self.watched().map_or(Err(DatagramError::UnknownSender), |watched| watched.outcomes.receive(bytes))
     }
 
-    /// The change that is watched now.
+    /// Returns the change that is watched now.
     fn watched(&mut self) -> Option<&mut WatchedChange> {
         self.change.as_mut().filter(|w| !w.is_replaced)
     }
@@ -184,10 +187,10 @@
     /// Evaluates the watched change, once a second.
     pub fn step(&mut self, now: Micros) -> CanaryStep {
         let second = now / 1_000_000;
-        if second == self.stepped_at {
+        if second == self.last_step_second {
             return CanaryStep::default();
         }
-        self.stepped_at = second;
+        self.last_step_second = second;
         let Some(watched) = self.watched() else { return CanaryStep::default() };
         if watched.verdict != Verdict::Stands {
             if let Some(tree) = watched.outcomes.judged_tree() {
@@ -204,7 +207,7 @@
         CanaryStep { datagrams: watched.outcomes.step(second), rollback }
     }
 
-    /// The latest watched change, as operators are shown it; null where there was none.
+    /// Returns the latest watched change as shown to operators; null if there was none.
     pub fn status(&self) -> Value {
         let Some(w) = &self.change else { return Value::Null };
         let state = match w.verdict {
@@ -228,8 +231,9 @@
 }
 
 impl WatchedChange {
-    /// Before the change the requests under earlier versions count, after it those under the changed one: not those that
-    /// were accepted under one version and ended under the next.
+    /// Adds the outcomes of one second. Before the change, requests under earlier versions count; after it, requests
+    /// under the changed version or later ones. Requests accepted under one version that ended under the next are
+    /// left out.
     fn count(&mut self, outcomes: &SecondOutcomes) {
         let Some(after) = self.outcomes.side_of_change(outcomes.second) else { return };
         let (mut touched, mut control) = (OutcomeCounts::default(), OutcomeCounts::default());
--- a/src/net/canary/tests.rs
+++ b/src/net/canary/tests.rs
@@ -1,8 +1,8 @@
-//! The canary analysis in one limiter: what it decides on outcomes, and what operators are shown.
+//! Tests of canary analysis in one limiter: its decisions on outcomes, and its status for operators.
 
 use super::*;
 
-/// Counts out of pairs of ended and served.
+/// Builds counts from pairs of ended and served requests.
 fn counts(pairs: &[(u32, u32)]) -> Vec<OutcomeCounts> {
     pairs.iter().map(|(ended, served)| OutcomeCounts { ended: *ended, served: *served }).collect()
 }
@@ -11,7 +11,7 @@
     SecondOutcomes { second, versions: [(version, counts(plans))].into() }
 }
 
-/// A tier of one limiter, which judges itself.
+/// Returns the analysis of a tier of one limiter, which evaluates itself.
 fn watch_of_one() -> CanaryWatch {
     CanaryWatch::new(Settings::default(), 0, 1)
 }
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_bad_change_is_rolled_back_and_its_replacement_is_not_watched() {
+fn bad_change_is_rolled_back_and_replacement_is_not_watched() {
     let (mut canary, bad) = (watch_of_one(), Digest([1; 16]));
     assert_eq!(run(&mut canary, 80..100, 0, (20, 40)), 0);
     canary.begin(1, bad, 100_000_000, vec![true, false]);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_good_change_stands_and_is_shown_so() {
+fn good_change_stands() {
     let mut canary = watch_of_one();
     run(&mut canary, 80..100, 0, (19, 38));
     canary.begin(1, Digest([1; 16]), 100_000_000, vec![true, false]);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_held_change_is_shown_so_whatever_was_measured() {
+fn held_change_is_shown_as_held_whatever_its_outcomes() {
     for seconds in [103, 112] {
         let mut canary = watch_of_one();
         run(&mut canary, 80..100, 0, (20, 40));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_void_version_does_not_end_the_watch() {
+fn void_version_does_not_end_watch() {
     let mut canary = watch_of_one();
     run(&mut canary, 80..100, 0, (20, 40));
     canary.begin(1, Digest([1; 16]), 100_000_000, vec![true, false]);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_second_is_reported_once_it_has_passed() {
+fn second_is_reported_once_it_has_passed() {
     let (sender, mut reported) = mpsc::channel(4);
     let mut recorder = OutcomeRecorder::new(2, sender);
     recorder.flush_finished_seconds(5_000_000);
--- a/src/net/capture.rs
+++ b/src/net/capture.rs
@@ -1,7 +1,7 @@
-//! The capture recorder: a thread of its own that writes the capture, off the request path.
+//! The capture recorder: a thread that writes the capture, off the request path.
 //!
-//! Records go into a bounded queue without waiting; where it is full, a record is dropped and counted, in the counters
-//! and in the file. A file that can't be written ends the capture, never the service.
+//! Records are put into a bounded queue without waiting. If it is full, the record is dropped and counted, in the
+//! counters and in the file. A write error ends the capture, but never the service.
 
 use std::fs::{self, File};
 use std::io::{self, BufWriter};
@@ -19,13 +19,14 @@
 use crate::net::runtime::metrics::COUNTERS;
 use crate::say;
 
-/// How often records are flushed to the file: a killed process loses the records of this time.
+/// Interval at which records are flushed to the file. If the process is killed, the records of up to this time are
+/// lost.
 const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
-/// How often the queue is emptied. Guards the request path: a thread that waited for each record would have to be woken
-/// for each, which costs the sender a system call.
+/// Interval at which the queue is emptied. The writer polls instead of waiting for records, because waking it for
+/// each record would cost the request path a system call.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A record on its way to the file, with the name of the backend that answered.
+/// A record for the file, with the name of the backend that answered.
 pub struct CaptureEntry {
     pub record: Record,
     pub destination: Option<BackendId>,
@@ -39,34 +40,34 @@
 }
 
 impl CaptureRecorder {
-    /// Begins a capture; once the recorder is dropped the thread completes the file and ends.
+    /// Starts a capture. Dropping the recorder makes the thread complete the file and end.
     ///
     /// # Errors
-    /// Where the file can't be created, or exists already.
+    /// Returns an error if the file can't be created, or already exists.
     pub fn start(
         capture: &CaptureSettings,
         path: &Path,
         header: &Header,
     ) -> io::Result<(CaptureRecorder, JoinHandle<()>)> {
-        if let Some(folder) = path.parent().filter(|f| !f.as_os_str().is_empty()) {
-            fs::create_dir_all(folder)?;
+        if let Some(directory) = path.parent().filter(|f| !f.as_os_str().is_empty()) {
+            fs::create_dir_all(directory)?;
         }
         let file = BufWriter::new(File::options().write(true).create_new(true).open(path)?);
         let writer = Writer::new(file, header)?;
-        let (queue, entries) = sync_channel(capture.queue);
+        let (queue, entries) = sync_channel(capture.queue_capacity);
         let dropped = Arc::new(AtomicU64::new(0));
-        let (dropped_by_queue, max_bytes) = (dropped.clone(), capture.most_bytes);
+        let (dropped_by_queue, max_bytes) = (dropped.clone(), capture.max_bytes);
         let thread = thread::Builder::new().name("capture".into()).spawn(move || {
             if let Err(e) = write(writer, &entries, &dropped_by_queue, max_bytes) {
                 say!("capture: ended: {e}");
-                // The queue is still emptied, so that the records are counted as dropped.
+                // The queue is still emptied, so that its records are counted as dropped.
                 entries.iter().for_each(|_| COUNTERS.capture_dropped.increment());
             }
         })?;
         Ok((CaptureRecorder { hash: capture.hash, queue, dropped }, thread))
     }
 
-    /// Queues a record without waiting, or drops it where the queue is full.
+    /// Queues a record without waiting, or drops it if the queue is full.
     pub fn record(&self, entry: CaptureEntry) {
         if self.queue.try_send(entry).is_err() {
             COUNTERS.capture_dropped.increment();
@@ -106,7 +107,7 @@
             flushed_at = Instant::now();
             if writer.written() >= max_bytes {
                 is_full = true;
-                say!("capture: {} MB are written, nothing more is kept", max_bytes >> 20);
+                say!("capture: {} MB are written, the maximum; further records are dropped", max_bytes >> 20);
             }
         }
     }
--- a/src/net/config/addresses.rs
+++ b/src/net/config/addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses that SIGHUP may change while the daemon serves.
+//! Addresses that SIGHUP may change while the daemon serves.
 
 use std::net::SocketAddr;
 
@@ -7,13 +7,13 @@
 pub struct Addresses {
     pub discovery: SocketAddr,
     pub counter: Option<SocketAddr>,
-    /// Discovery as the file names it, whatever the environment says.
+    /// The address of discovery in the file, regardless of the environment.
     pub in_file: Option<SocketAddr>,
 }
 
 impl Addresses {
-    /// These addresses after the file was read again. Guards a move of discovery: the environment of a
-    /// running program can't change, so an address that is new in the file overrides `LB_DISCOVERY`.
+    /// Returns these addresses as changed by a reload that read `read`. The environment of a running process can't
+    /// change, so a new address of discovery in the file overrides `LB_DISCOVERY`.
     pub fn updated_by(self, read: Addresses) -> Addresses {
         let new = read.in_file.filter(|_| read.in_file != self.in_file);
         Addresses { discovery: new.unwrap_or(self.discovery), ..read }
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: the only reader of the environment and of the file it names.
+//! The configuration: the only code that reads the environment and the file that it names.
 
 pub mod addresses;
 pub mod settings;
@@ -16,34 +16,36 @@
 use crate::net::control::cordons;
 use crate::net::discovery::endpoints::{EndpointsChange, WireList};
 
-/// Descriptors kept free of downstream and upstream connections: for discovery, the counter, peers, the runtime.
+/// Descriptors reserved for discovery, the quota counter, peers and the runtime. Client and backend connections do
+/// not use them.
 const RESERVED_SOCKETS: usize = 40;
-/// One part in so many of the rest is for connections to backends, which requests share, unlike those of clients.
-const UPSTREAM_PART: usize = 4;
-/// Fewest descriptors that the program can work with.
+/// Divisor of the other descriptors that gives the number for backend connections. Clients get the rest, because
+/// requests share backend connections but not client connections.
+const UPSTREAM_DIVISOR: usize = 4;
+/// Minimum number of descriptors that the process can work with.
 const MIN_SOCKETS: usize = 96;
 
-/// Everything that the program is configured with at its start.
+/// Everything that the process is configured with at its start.
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    /// The operators' address, where there is one, and the file that keeps the cordons.
-    pub ops: Option<SocketAddr>,
-    pub cordons: Option<PathBuf>,
+    /// Address for operators, if any, and the file that stores the cordons.
+    pub admin_listen: Option<SocketAddr>,
+    pub cordon_file: Option<PathBuf>,
     pub addresses: Addresses,
     pub peer_listen: Option<SocketAddr>,
     pub peers: Vec<SocketAddr>,
-    pub peers_all: Option<SocketAddr>,
+    pub peer_broadcast: Option<SocketAddr>,
     pub seed: u64,
-    pub downstream_connections: usize,
-    pub destination_sockets: usize,
-    pub known: EndpointsChange,
+    pub max_downstream_connections: usize,
+    pub upstream_sockets: usize,
+    pub initial_endpoints: EndpointsChange,
     pub settings: Settings,
     pub names: NameIndex,
     pub limits: ResourceLimits,
 }
 
-/// Why there is no configuration; the text names file, key and what was expected.
+/// Reason why the configuration could not be read. The message names the file, the key and what was expected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     #[error("configuration: LB_CONFIG is not set")]
@@ -67,11 +69,11 @@
     NoAddress { variable: &'static str, key: &'static str },
     #[error("seed: '{0}' is not a hex number")]
     Seed(String),
-    #[error("limits.sockets: {0} is under {MIN_SOCKETS}")]
+    #[error("limits.sockets: {0} is below the minimum of {MIN_SOCKETS}")]
     TooFewSockets(usize),
     #[error("{0}")]
     Setting(#[from] SettingError),
-    #[error("counter is missing, and settings.familyInfo.hasCounter is true")]
+    #[error("counter is missing, but settings.familyInfo.hasCounter is true")]
     NoCounter,
 }
 
@@ -107,35 +109,37 @@
     }
 }
 
-/// Reads a variable; its value, where it is set and not empty.
+/// Looks up an environment variable. Returns its value if it is set and not empty.
 type Environment<'a> = &'a dyn Fn(&str) -> Option<String>;
 
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-/// Reads the file that `LB_CONFIG` names; `LB_NAME`, `LB_LISTEN`, `LB_OPS` and `LB_DISCOVERY` override its keys. Cordons
-/// are kept in `$TMPDIR` (else the system's own directory for temporary files) where there is an operators' address.
+/// Reads the file that `LB_CONFIG` names. `LB_NAME`, `LB_LISTEN`, `LB_OPS` and `LB_DISCOVERY` override its keys. If
+/// there is an address for operators, cordons are stored in `$TMPDIR`, or else in the system's directory for
+/// temporary files.
 ///
 /// # Errors
-/// Names file and key at fault, and what was expected there.
+/// Returns an error that names the file and key at fault, and what was expected there.
 pub fn read() -> Result<Config, ConfigError> {
     let path = PathBuf::from(variable("LB_CONFIG").ok_or(ConfigError::NoFile)?);
     decode_file(&path).map_err(|source| ConfigError::FileOfEnvironment { path, source })
 }
 
-/// Reads a file; the environment overrides its keys as at a start.
+/// Reads the configuration file at `path`. The environment overrides its keys, as in [`read`].
 ///
 /// # Errors
-/// As [`read`].
+/// The same as for [`read`].
 pub fn read_file(path: &Path) -> Result<Config, ConfigError> {
     decode_file(path).map_err(|source| ConfigError::File { path: path.to_path_buf(), source })
 }
 
-/// Reads the file again; the addresses to use from now on. The whole file is checked: a faulty one changes nothing.
+/// Reads the configuration again and returns the addresses to use from now on. The whole file is checked, so an
+/// invalid file changes nothing.
 ///
 /// # Errors
-/// As [`read`].
+/// The same as for [`read`].
 pub fn read_addresses(now: Addresses) -> Result<Addresses, ConfigError> {
     Ok(now.updated_by(read()?.addresses))
 }
@@ -154,7 +158,7 @@
         return Err(InvalidConfig::NoCounter);
     }
     let listen = address(environment, "LB_LISTEN", "listen", file.listen)?;
-    let ops = match environment("LB_OPS") {
+    let admin_listen = match environment("LB_OPS") {
         Some(_) => Some(address(environment, "LB_OPS", "ops", file.ops)?),
         None => file.ops,
     };
@@ -163,23 +167,23 @@
     Ok(Config {
         name: environment("LB_NAME").or(file.name).unwrap_or_else(|| "sedgestack".into()),
         listen,
-        ops,
-        cordons: ops.map(|_| cordons::path(&temporary, listen)),
+        admin_listen,
+        cordon_file: admin_listen.map(|_| cordons::path(&temporary, listen)),
         addresses: Addresses { discovery, counter: file.counter, in_file: file.discovery },
         peer_listen: file.peer_listen,
         peers: file.peers,
-        peers_all: file.peers_all,
+        peer_broadcast: file.peers_all,
         seed,
-        downstream_connections: sockets.downstream,
-        destination_sockets: sockets.upstream,
-        known: file.known.into(),
+        max_downstream_connections: sockets.downstream,
+        upstream_sockets: sockets.upstream,
+        initial_endpoints: file.known.into(),
         settings,
         names,
         limits,
     })
 }
 
-/// An address: the environment's, else the file's.
+/// Returns an address from the environment, or else from the file.
 fn address(
     environment: Environment<'_>,
     variable: &'static str,
@@ -192,7 +196,7 @@
     }
 }
 
-/// The seed that the file names in hex; the process id where it names none.
+/// Parses a seed in hex. The default is the process id.
 fn seed(text: &str) -> Result<u64, InvalidConfig> {
     if text.is_empty() {
         return Ok(std::process::id().into());
@@ -200,7 +204,7 @@
     u64::from_str_radix(text, 16).map_err(|_| InvalidConfig::Seed(text.to_string()))
 }
 
-/// How the descriptors are shared out.
+/// How many descriptors downstream and upstream connections may use.
 struct SocketShares {
     downstream: usize,
     upstream: usize,
@@ -212,12 +216,12 @@
             return Err(InvalidConfig::TooFewSockets(sockets));
         }
         let shared = sockets - RESERVED_SOCKETS;
-        let upstream = shared / UPSTREAM_PART;
+        let upstream = shared / UPSTREAM_DIVISOR;
         Ok(SocketShares { downstream: shared - upstream, upstream })
     }
 }
 
-/// A span of the settings as the runtime expects it.
+/// Converts a time span of the settings to the runtime's type.
 pub fn duration(micros: sedgestack::Micros) -> Duration {
     Duration::from_micros(micros)
 }
--- a/src/net/config/settings.rs
+++ b/src/net/config/settings.rs
@@ -1,6 +1,6 @@
-//! The settings beside the platform's configuration: the HCL file that `--settings` names.
+//! The settings in addition to the platform's configuration: the HCL file that `--settings` names.
 //!
-//! Without the file everything here is off or at its default.
+//! Without the file, everything here is off or at its default.
 
 use std::path::{Path, PathBuf};
 
@@ -13,11 +13,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Records that may wait for the writer, by default: at 100 bytes each, 0.2 MB.
-const DEFAULT_QUEUE: u64 = 2_048;
-/// Largest capture by default, MB.
-const DEFAULT_MOST_MB: u64 = 64;
-/// Bytes of the key that a capture's hashes are made with.
+/// Default maximum number of records that wait for the capture writer: 0.2 MB at 100 bytes each.
+const DEFAULT_QUEUE_CAPACITY: u64 = 2_048;
+/// Default maximum size of a capture, in MB.
+const DEFAULT_MAX_MB: u64 = 64;
+/// Length in bytes of the key for the hashes in a capture.
 const HASH_KEY_BYTES: usize = 16;
 
 const SECOND: Micros = 1_000_000;
@@ -26,10 +26,10 @@
 const DEFAULT_MAX_CLOCK_SKEW: Micros = 400_000;
 const DEFAULT_ACTIVATION_DELAY: Micros = 6 * SECOND;
 const DEFAULT_MAX_DATAGRAMS_PER_SECOND: u64 = 40;
-/// The longest span of a canary analysis, seconds.
+/// Maximum length of each time span of a canary analysis, in seconds.
 const MAX_CANARY_SPAN_S: u64 = 600;
 
-/// What the file says.
+/// The contents of the settings file.
 #[derive(Clone, Default)]
 pub struct Settings {
     pub log: Format,
@@ -37,10 +37,10 @@
     pub tier: Option<TierSettings>,
 }
 
-/// How limiters agree on versions of the runtime configuration.
+/// Settings for the agreement of limiters on versions of the runtime configuration.
 #[derive(Clone)]
 pub struct TierSettings {
-    /// The file of the replica's state; `{name}` stands for the limiter's name.
+    /// The file that stores the replica's state; `{name}` stands for the limiter's name.
     pub store: Option<String>,
     pub heartbeat_interval: Micros,
     pub fanout: u16,
@@ -48,27 +48,27 @@
     pub max_clock_skew: Micros,
     pub activation_delay: Micros,
     pub max_datagrams_per_second: u32,
-    /// What is done once the active version was unknown for longer than `unknown_version_wait`.
+    /// What to do with requests once the active version has been unknown for longer than `unknown_version_wait`.
     pub unknown_version_policy: UnknownVersionPolicy,
     pub unknown_version_wait: Micros,
     /// How long a process waits for the one that it replaces to end.
     pub handover_wait: Micros,
-    /// How a change is watched and rolled back by itself; not at all without.
+    /// Settings of the canary analysis, which rolls changes back automatically; `None` turns it off.
     pub canary: Option<sedgestack_canary::Settings>,
-    /// For rehearsals only: by how many microseconds this limiter's time of day is ahead of the machine's.
+    /// For rehearsals only: how many microseconds this limiter's time of day is ahead of the machine's.
     pub clock_offset: i64,
 }
 
 impl TierSettings {
-    /// The longest time for which two versions may be active at once, as `check` prints it: the clocks' difference,
-    /// and without a bound where a limiter that is cut off serves under the last version it knew.
-    pub fn version_overlap_in_words(&self) -> String {
+    /// Describes, for `check`, the longest time that two versions may be active at once: the clock skew, and without
+    /// a bound if a limiter that is cut off serves under the last version that it knew.
+    pub fn describe_version_overlap(&self) -> String {
         let skew = self.max_clock_skew / 1_000;
         match self.unknown_version_policy {
-            UnknownVersionPolicy::Reject => format!("two versions in force at once: {skew} ms at most (skew)"),
+            UnknownVersionPolicy::Reject => format!("two versions active at once: {skew} ms at most (clock skew)"),
             UnknownVersionPolicy::Serve => format!(
-                "two versions in force at once: {skew} ms at most (skew) among limiters that know; one that is cut \
-                 off refuses from {} ms on for {} ms, and then serves under the last it knew",
+                "two versions active at once: {skew} ms at most (clock skew) among connected limiters; one that is cut \
+                 off rejects requests from {} ms on for {} ms, and then serves under the last version it knew",
                 self.lease / 1_000,
                 self.unknown_version_wait / 1_000
             ),
@@ -76,28 +76,29 @@
     }
 }
 
-/// Where a capture goes.
+/// Settings of the capture.
 #[derive(Clone)]
 pub struct CaptureSettings {
-    /// `{name}` and `{started}` in it stand for the limiter's name and the second of its start.
+    /// Path of the file; `{name}` and `{started}` stand for the limiter's name and the Unix second of its start.
     pub file: String,
     pub hash: KeyedHash,
-    /// Records that may wait for the writer; further ones are dropped and counted.
-    pub queue: usize,
-    pub most_bytes: u64,
+    /// Maximum number of records that wait for the writer; further ones are dropped and counted.
+    pub queue_capacity: usize,
+    /// Maximum size of the file, in bytes.
+    pub max_bytes: u64,
 }
 
 impl CaptureSettings {
-    /// The file's path for a limiter that started at a Unix second.
+    /// Returns the path of the file for a limiter that started at Unix second `started`.
     pub fn path(&self, name: &str, started: u64) -> PathBuf {
         self.file.replace("{name}", name).replace("{started}", &started.to_string()).into()
     }
 }
 
-/// Reads and checks the file.
+/// Reads and checks the settings file.
 ///
 /// # Errors
-/// Names file, line, column and key at fault, and what was expected there.
+/// Returns an error that names the file, line, column and key at fault, and what was expected there.
 pub fn read(path: &Path) -> Result<Settings, ConfigError> {
     decode(&Document::read(path)?)
 }
@@ -149,12 +150,13 @@
     }
     let store = s.string("store")?.to_string();
     if store.is_empty() {
-        return Err(s.error_at("store", "expected a path, as \"/var/lib/sedgestack/{name}.redb\""));
+        return Err(s.error_at("store", "expected a path such as \"/var/lib/sedgestack/{name}.redb\""));
     }
     Ok(Some(store))
 }
 
-/// The clock offset in microseconds. Guards service: a limiter with a wrong clock may exist in rehearsals only.
+/// Decodes the clock offset, in microseconds. It is accepted only in rehearsals, because a wrong clock would harm a
+/// limiter in service.
 fn decode_clock_offset(s: &Section<'_>) -> Result<i64, ConfigError> {
     let is_rehearsal = s.bool_or("rehearsal", false)?;
     let offset_ms = s.number_or("clock_offset_ms", -60_000.0..=60_000.0, 0.0)?;
@@ -166,10 +168,10 @@
 
 fn decode_canary(s: &Section<'_>) -> Result<sedgestack_canary::Settings, ConfigError> {
     let defaults = sedgestack_canary::Settings::default();
-    let seconds = |key, least: u64, default: u32| -> Result<u32, ConfigError> {
+    let seconds = |key, min: u64, default: u32| -> Result<u32, ConfigError> {
         let span = s.duration_or(key, u64::from(default) * SECOND)?;
-        let is_whole = span % SECOND == 0 && (least..=MAX_CANARY_SPAN_S).contains(&(span / SECOND));
-        let expected = format!("expected whole seconds, from \"{least}s\" to \"{MAX_CANARY_SPAN_S}s\"");
+        let is_whole = span % SECOND == 0 && (min..=MAX_CANARY_SPAN_S).contains(&(span / SECOND));
+        let expected = format!("expected whole seconds, from \"{min}s\" to \"{MAX_CANARY_SPAN_S}s\"");
         is_whole.then_some((span / SECOND) as u32).ok_or_else(|| s.error_at(key, expected))
     };
     let settings = sedgestack_canary::Settings {
@@ -187,21 +189,21 @@
 fn decode_capture(s: &Section<'_>) -> Result<CaptureSettings, ConfigError> {
     let file = s.string("file")?.to_string();
     if file.is_empty() {
-        return Err(s.error_at("file", "expected a path, as \"captures/{name}-{started}.sedgecap\""));
+        return Err(s.error_at("file", "expected a path such as \"captures/{name}-{started}.sedgecap\""));
     }
     let key = hash_key(s.string("key")?);
     let key = key.ok_or_else(|| s.error_at("key", "expected 32 hex digits, the same at every limiter"))?;
     let capture = CaptureSettings {
         file,
         hash: KeyedHash::new(key),
-        queue: s.integer_or("queue", 1..=1_000_000, DEFAULT_QUEUE)? as usize,
-        most_bytes: s.integer_or("most_mb", 1..=1_000_000, DEFAULT_MOST_MB)? << 20,
+        queue_capacity: s.integer_or("queue", 1..=1_000_000, DEFAULT_QUEUE_CAPACITY)? as usize,
+        max_bytes: s.integer_or("most_mb", 1..=1_000_000, DEFAULT_MAX_MB)? << 20,
     };
     s.reject_unknown_keys()?;
     Ok(capture)
 }
 
-/// A key out of hex digits; `None` where there are too few or too many, or others.
+/// Parses the key of a capture's hashes. Returns `None` unless there are exactly as many hex digits as the key needs.
 fn hash_key(digits: &str) -> Option<[u8; HASH_KEY_BYTES]> {
     if digits.len() != 2 * HASH_KEY_BYTES {
         return None;
--- a/src/net/config/settings/tests.rs
+++ b/src/net/config/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Settings files: defaults, and how a faulty key is reported.
+//! Tests of settings files: defaults, and how an invalid key is reported.
 
 use super::*;
 
@@ -8,14 +8,14 @@
 }
 
 #[test]
-fn an_empty_file_enables_nothing() {
+fn empty_file_enables_nothing() {
     let settings = parse("").expect("an empty file is in order");
     assert!(settings.capture.is_none());
     assert_eq!(settings.log, Format::Text);
 }
 
 #[test]
-fn an_error_names_file_line_column_and_key() {
+fn error_names_file_line_column_and_key() {
     let text = "capture {\n  file = \"c\"\n  key = \"abc\"\n}\n";
     let error = parse(text).err().expect("an error");
     assert_eq!(error, "ours.hcl:3:9: capture.key: expected 32 hex digits, the same at every limiter");
@@ -24,19 +24,19 @@
 }
 
 #[test]
-fn a_tier_has_defaults_and_no_clock_offset_outside_a_rehearsal() {
+fn tier_has_defaults_and_no_clock_offset_outside_rehearsal() {
     let tier = parse("tier {\n  unknown = \"refuse\"\n}\n").expect("in order").tier.expect("it is on");
     assert_eq!(
         (tier.lease, tier.unknown_version_wait, tier.unknown_version_policy),
         (3_000_000, 3_000_000, UnknownVersionPolicy::Reject)
     );
-    assert_eq!(tier.version_overlap_in_words(), "two versions in force at once: 400 ms at most (skew)");
+    assert_eq!(tier.describe_version_overlap(), "two versions active at once: 400 ms at most (clock skew)");
     let error = parse("tier {\n  clock_offset_ms = 200\n}\n").err().expect("an error");
     assert_eq!(error, "ours.hcl:2:21: tier.clock_offset_ms: expected only where rehearsal = true");
 }
 
 #[test]
-fn a_canary_is_off_without_its_block_and_its_spans_are_whole_seconds() {
+fn canary_needs_its_block_and_whole_seconds() {
     let of = |text: &str| parse(text).map(|s| s.tier.expect("it is on").canary);
     assert_eq!(of("tier {\n}\n"), Ok(None));
     assert_eq!(of("tier {\n  watch {\n  }\n}\n"), Ok(Some(sedgestack_canary::Settings::default())));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_capture_path_differs_by_limiter_and_start() {
+fn capture_path_differs_by_limiter_and_start() {
     let text =
         "capture {\n file = \"c/{name}-{started}.cap\"\n key = \"000102030405060708090a0b0c0d0e0f\"\n}\n";
     let capture = parse(text).expect("in order").capture.expect("it is on");
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -1,5 +1,5 @@
-//! The actor round the replica: datagrams, operators' calls and outcome counts in; datagrams and reports to the
-//! control actor out.
+//! The actor that runs the replica. It receives datagrams, operators' calls and outcome counts, and sends datagrams
+//! to peers and reports to the control actor.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -28,10 +28,10 @@
 use crate::net::runtime::metrics::COUNTERS;
 use crate::say;
 
-/// The replica's timers are checked this often, and whenever a datagram or a call comes.
-const TICK_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which the replica's timers are checked, in addition to each datagram and call.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why the agreement on versions can't start.
+/// Reason why the consensus on versions can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum ConsensusStartError {
     #[error("tier: {0}")]
@@ -44,42 +44,42 @@
     Settings(#[from] SettingsError),
 }
 
-/// What the actor is made of.
+/// The parts from which [`ConsensusActor`] is created.
 pub struct ConsensusActorParts {
     pub clock: Clock,
     pub settings: TierSettings,
-    /// The limiters of the tier, and the number of this one.
+    /// Number of limiters in the tier, and the number of this one.
     pub replicas: u32,
     pub own: u32,
     pub configured: ConfiguredRules,
     pub store: StateStore,
-    /// The state as stored before this start.
+    /// The state that was stored before this start.
     pub stored: Option<StoredState>,
     pub seed: u64,
     pub peers: mpsc::Sender<OutgoingDatagram>,
     pub control: mpsc::Sender<Control>,
 }
 
-/// What the control actor was told last.
+/// The latest report to the control actor.
 struct Report {
     version: Slot,
     lease: VersionLease,
 }
 
-/// The actor's state. Nothing else writes it.
+/// State of the actor. No other task writes it.
 pub struct ConsensusActor {
     pub(super) replica: Replica,
     pub(super) replicas: ReplicaId,
     pub(super) own: ReplicaId,
     pub(super) settings: TierSettings,
     pub(super) configured: ConfiguredRules,
-    /// Documents that were checked and may be committed.
+    /// Documents that were checked and may be committed, by digest.
     pub(super) staged: BTreeMap<Digest, Document>,
     pub(super) history: History,
-    /// The document that is active, and the one that was before it and had other figures.
-    pub(super) serving: Document,
+    /// The active document, and the latest one before it that had other values.
+    pub(super) served_document: Document,
     pub(super) previous: Option<Document>,
-    /// The version that was served last: the one that the next one to be activated should be made of.
+    /// The version that was served last. The next change must be based on it to be watched.
     served_version: Slot,
     pub(super) proposal: Option<Proposal>,
     pub(super) store: StateStore,
@@ -92,10 +92,11 @@
 }
 
 impl ConsensusActor {
-    /// An actor that has just started.
+    /// Creates the actor, with the active document from the stored state, or from the configuration if none is
+    /// stored.
     ///
     /// # Errors
-    /// Where the settings contradict each other.
+    /// Returns an error if the settings contradict each other.
     pub fn new(parts: ConsensusActorParts) -> Result<ConsensusActor, ConsensusStartError> {
         let (own, replicas) = (parts.own as ReplicaId, parts.replicas as ReplicaId);
         let settings = parts.settings;
@@ -110,7 +111,7 @@
             replica,
             replicas,
             own,
-            serving: parts.configured.document().clone(),
+            served_document: parts.configured.document().clone(),
             configured: parts.configured,
             staged: BTreeMap::new(),
             history,
@@ -126,7 +127,7 @@
             control: parts.control,
         };
         if let Some(document) = actor.active_document() {
-            actor.serving = document;
+            actor.served_document = document;
         }
         Ok(actor)
     }
@@ -138,7 +139,7 @@
         mut calls: mpsc::Receiver<OperatorRequest>,
         mut outcomes: mpsc::Receiver<SecondOutcomes>,
     ) {
-        let mut ticks = interval(TICK_EVERY);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -158,12 +159,12 @@
         }
     }
 
-    /// The time of day as the replicas use it.
+    /// Returns the time of day that the replica uses, which includes the clock offset.
     pub(super) fn now(&self) -> Micros {
         self.clock.now().saturating_add_signed(self.settings.clock_offset)
     }
 
-    /// The control actor's time for one of the replicas'.
+    /// Converts a time of the replicas to the control actor's time.
     fn to_control_time(&self, at: Micros) -> Micros {
         at.saturating_add_signed(-self.settings.clock_offset)
     }
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Takes in what this limiter counted in a second of its own clock.
+    /// Records the outcomes that this limiter counted in one second of its own clock.
     fn on_second_outcomes(&mut self, mut outcomes: SecondOutcomes) {
         let offset_s = (self.settings.clock_offset as f64 / 1e6).round() as i64;
         outcomes.second = outcomes.second.saturating_add_signed(offset_s);
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Brings the replica up to now, stores what must survive a restart, and then sends.
+    /// Advances the replica to the current time, stores what must survive a restart, and then sends its datagrams.
     fn advance(&mut self) {
         let now = self.now();
         let datagrams = self.replica.tick(now);
@@ -214,7 +215,7 @@
             self.store.mark_changed();
             self.on_replica_event(event);
         }
-        // Guards votes: where the state can't be stored, nothing is sent that depends on it.
+        // Datagrams may contain votes. They are sent only if the state that they depend on has been stored.
         let previous = self.previous.as_ref().map(|document| document.text.as_str());
         if !self.store.save(&self.replica, &self.history, previous) {
             return;
@@ -231,17 +232,17 @@
 
     fn on_replica_event(&mut self, event: ReplicaEvent) {
         match event {
-            ReplicaEvent::DocumentReceived { digest } => say!("tier: document {digest} has come"),
+            ReplicaEvent::DocumentReceived { digest } => say!("tier: received document {digest}"),
             ReplicaEvent::Decided { slot, value } => self.on_decided(slot, value),
             ReplicaEvent::Activated { slot, digest } => self.on_activated(slot, digest),
-            ReplicaEvent::ProposalLost { slot } => say!("tier: version {slot}, begun here, was not made"),
+            ReplicaEvent::ProposalLost { slot } => say!("tier: version {slot}, proposed here, was not made"),
             ReplicaEvent::ProposalUnanswered { slot, replicas } => {
-                say!("tier: version {slot} is given up, as {replicas:?} did not answer");
+                say!("tier: gave up version {slot}: replicas {replicas:?} did not answer");
                 if let Some(proposal) = self.proposal.as_mut().filter(|p| p.version == slot) {
                     proposal.unanswered = replicas;
                 }
             }
-            ReplicaEvent::StatusChanged(status) => say!("tier: stands {status:?}"),
+            ReplicaEvent::StatusChanged(status) => say!("tier: replica status {status:?}"),
         }
     }
 
@@ -269,8 +270,8 @@
     }
 
     fn on_activated(&mut self, slot: Slot, digest: Option<Digest>) {
-        say!("tier: version {slot} is in force");
-        if digest.is_some_and(|digest| digest != self.serving.digest()) {
+        say!("tier: version {slot} is active");
+        if digest.is_some_and(|digest| digest != self.served_document.digest()) {
             if let Some(document) = self.active_document() {
                 self.serve(slot, document);
             }
@@ -280,34 +281,33 @@
 
     /// Serves under another document from now on.
     fn serve(&mut self, slot: Slot, document: Document) {
-        let has_same_values = self.serving.has_same_values(&document);
+        let has_same_values = self.served_document.has_same_values(&document);
         self.watch_change(slot, &document, has_same_values);
-        let previous = std::mem::replace(&mut self.serving, document);
-        // A hold or a pin changes nothing that an undo could return from.
+        let previous = std::mem::replace(&mut self.served_document, document);
+        // A hold or a pin has the same values, so it is not a change that an undo could revert.
         if !has_same_values {
             self.previous = Some(previous);
         }
     }
 
-    /// Tells the canary analysis of a document that becomes active, and begins to watch it where it asks for that.
+    /// Reports a newly active document to the canary analysis, and starts to watch it if the document asks for that.
     fn watch_change(&mut self, slot: Slot, document: &Document, has_same_values: bool) {
         let Some(canary) = &mut self.canary else { return };
         let digest = document.digest();
         canary.on_version_active(digest, has_same_values);
-        // A change that was not made of the version served here until now is an undo, or versions between were
-        // missed: there is nothing to compare it with.
+        // If the document is not based on the version served here until now, it is an undo, or this limiter missed
+        // versions. Then there is nothing to compare it with.
         let (decided, value) = self.replica.decided();
         let follows_served = document.provenance.parent == self.served_version && decided == slot;
         let Some(activated_at) = value.activates_at() else { return };
         if follows_served && document.provenance.watch {
-            let names = changed_plans(&self.serving, document);
+            let names = changed_plans(&self.served_document, document);
             let touched = self.configured.plans_where(|name| names.contains(name));
             canary.begin(slot, digest, activated_at, touched);
         }
     }
 
-    /// Sends what the canary analysis has to tell the other limiters, and rolls the watched change back where service
-    /// fell under it.
+    /// Sends the datagrams of the canary analysis, and proposes to roll the watched change back if service fell.
     fn step_canary(&mut self) {
         let now = self.now();
         let Some(canary) = &mut self.canary else { return };
@@ -315,26 +315,26 @@
         for (to, bytes) in datagrams {
             self.send(to, bytes);
         }
-        // Guards against a second undo: only while the document that failed is the active one. Where another limiter
-        // proposes it too, both are changes of one version, and one of them is made.
-        let is_active = |rollback: &Rollback| rollback.digest == self.serving.digest();
+        // Roll back only while the document that failed is the active one, so that nothing is undone twice. If
+        // another limiter proposes the rollback too, both propose the same next version, and one of them is made.
+        let is_active = |rollback: &Rollback| rollback.digest == self.served_document.digest();
         let Some(Rollback { drop, .. }) = rollback.filter(is_active) else { return };
         let Some(previous) = self.previous.clone() else { return };
         if self.propose(previous, BTreeSet::new()).is_ok() {
             COUNTERS.undone.increment();
-            say!("tier: service fell by {drop:.3} beside the other plans: the change is undone by itself");
+            say!("tier: service fell by {drop:.3} compared with the other plans; rolling the change back automatically");
             self.advance();
         }
     }
 
-    /// The active document, where one was ever decided.
+    /// Returns the active document, if any was ever decided.
     fn active_document(&self) -> Option<Document> {
         let (_, bytes) = self.replica.active_version();
         parse_version(bytes?)
     }
 
-    /// Reports to the control actor whenever the versions have changed, and every half heartbeat that the lease holds
-    /// for longer.
+    /// Reports to the control actor when the versions have changed, or when the lease has been extended by at least
+    /// half a heartbeat interval.
     async fn report(&mut self) {
         let (version, _) = self.replica.active_version();
         let lease = self.replica.version_lease();
@@ -348,7 +348,7 @@
         });
         let is_known = lease.valid_until != 0;
         let versions = ActiveVersions {
-            current: self.configured.version_of(version, &self.serving),
+            current: self.configured.version_of(version, &self.served_document),
             scheduled,
             valid_until: if is_known { self.to_control_time(lease.valid_until) } else { 0 },
         };
@@ -357,13 +357,13 @@
         }
     }
 
-    /// Whether the control actor knows this already, but for less than half a heartbeat of the lease.
+    /// Whether the control actor already knows these versions, and a lease at most half a heartbeat interval shorter.
     fn is_reported(&self, version: Slot, lease: &VersionLease) -> bool {
         let half_heartbeat = self.settings.heartbeat_interval / 2;
         self.last_report.as_ref().is_some_and(|last| {
-            let longer = lease.valid_until.checked_sub(last.lease.valid_until);
+            let extension = lease.valid_until.checked_sub(last.lease.valid_until);
             (last.version, last.lease.scheduled) == (version, lease.scheduled)
-                && longer.is_some_and(|longer| longer < half_heartbeat)
+                && extension.is_some_and(|extension| extension < half_heartbeat)
         })
     }
 }
--- a/src/net/consensus/configured_rules.rs
+++ b/src/net/consensus/configured_rules.rs
@@ -1,4 +1,4 @@
-//! What the configuration file says of the figures that documents may change.
+//! The values of the configuration file that documents may change.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,11 @@
 use crate::net::config::Config;
 use crate::net::control::message::ConfigVersion;
 
-/// The least rate and burst that a document can express; plans below them can't be changed in service.
-const LEAST_RATE: f64 = 0.001;
-const LEAST_BURST: f64 = 1.0;
+/// Minimum rate and burst that a document can express. Plans with smaller values can't be changed in service.
+const MIN_RATE: f64 = 0.001;
+const MIN_BURST: f64 = 1.0;
 
-/// The configured figures: version 0, and the bounds of all versions after it.
+/// The configured values: version 0, and bounds for all later versions.
 #[derive(Clone)]
 pub struct ConfiguredRules {
     classes: Vec<Class>,
@@ -25,32 +25,32 @@
     document: Document,
 }
 
-/// What a document asks that can't be changed in service.
+/// A change in a document that is not possible in service.
 #[derive(Debug, thiserror::Error)]
 pub enum UnsupportedChange {
-    #[error("plan \"{0}\": the limiters were not started with it")]
+    #[error("plan \"{0}\": it is not in the limiters' configuration")]
     UnknownPlan(String),
-    #[error("class \"{0}\": the limiters were not started with it")]
+    #[error("class \"{0}\": it is not in the limiters' configuration")]
     UnknownClass(String),
-    #[error("addresses: these are moved by the configuration file and SIGHUP")]
+    #[error("addresses: they are changed in the configuration file, with SIGHUP")]
     Addresses,
-    #[error("limits.max_retry_after: expected {longest} us at most, as configured")]
-    MaxRetryAfter { longest: Micros },
+    #[error("limits.max_retry_after: expected {max} us at most, as configured")]
+    MaxRetryAfter { max: Micros },
 }
 
 impl ConfiguredRules {
-    /// The figures of a configuration.
+    /// Extracts the values from a configuration.
     ///
     /// # Errors
-    /// Where a document can't express them: the text says which figure.
+    /// Returns an error that names the value if a document can't express it.
     pub fn from_config(config: &Config) -> Result<ConfiguredRules, ConfigError> {
         let settings = &config.settings;
         let longest_deadline = config.limits.longest_deadline;
-        let expressible = settings.plans.iter().filter(|p| p.rate >= LEAST_RATE && p.burst >= LEAST_BURST);
-        let plans: BTreeMap<_, _> = expressible.map(|plan| (plan.name.clone(), plan_figures(plan))).collect();
+        let expressible = settings.plans.iter().filter(|p| p.rate >= MIN_RATE && p.burst >= MIN_BURST);
+        let plans: BTreeMap<_, _> = expressible.map(|plan| (plan.name.clone(), plan_values(plan))).collect();
         let classes = settings.classes.iter();
         let classes: BTreeMap<_, _> =
-            classes.map(|class| (class.name.clone(), class_figures(class, longest_deadline))).collect();
+            classes.map(|class| (class.name.clone(), class_values(class, longest_deadline))).collect();
         let text = Document::text_from_configuration(&plans, &classes, settings.max_retry_after);
         Ok(ConfiguredRules {
             classes: settings.classes.clone(),
@@ -61,17 +61,17 @@
         })
     }
 
-    /// Version 0 as a document.
+    /// Returns version 0 as a document.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// For each plan of the configuration, in its order, whether `contains` holds for its name.
+    /// Returns for each plan of the configuration, in order, whether `contains` holds for its name.
     pub fn plans_where(&self, contains: impl Fn(&str) -> bool) -> Vec<bool> {
         self.plans.iter().map(|plan| contains(&plan.name)).collect()
     }
 
-    /// The classes and plans under a document, and what the control actor needs beside them.
+    /// Returns the classes and plans under a document, with the other values that the control actor needs.
     pub fn version_of(&self, number: Slot, document: &Document) -> ConfigVersion {
         let mut classes = self.classes.clone();
         let mut deadlines = vec![self.longest_deadline; classes.len()];
@@ -91,10 +91,10 @@
         ConfigVersion { number, classes, plans, deadlines, max_retry_after }
     }
 
-    /// Checks that a document asks only for what can be changed in service.
+    /// Checks that a document changes only what can be changed in service.
     ///
     /// # Errors
-    /// Names the first thing that can't be.
+    /// Returns an error that names the first change that is not possible.
     pub fn check_supported(&self, document: &Document) -> Result<(), UnsupportedChange> {
         let has_plan = |name: &String| self.plans.iter().any(|plan| plan.name == *name);
         if let Some(name) = document.plans.keys().find(|name| !has_plan(name)) {
@@ -108,17 +108,17 @@
             return Err(UnsupportedChange::Addresses);
         }
         if document.max_retry_after > self.max_retry_after {
-            return Err(UnsupportedChange::MaxRetryAfter { longest: self.max_retry_after });
+            return Err(UnsupportedChange::MaxRetryAfter { max: self.max_retry_after });
         }
         Ok(())
     }
 }
 
-fn plan_figures(plan: &Plan) -> runtime_config::Plan {
+fn plan_values(plan: &Plan) -> runtime_config::Plan {
     runtime_config::Plan { rate: plan.rate, burst: plan.burst, price: plan.price }
 }
 
-fn class_figures(class: &Class, longest_deadline: Micros) -> runtime_config::Class {
+fn class_values(class: &Class, longest_deadline: Micros) -> runtime_config::Class {
     runtime_config::Class {
         latency_objective: class.latency_objective,
         deadline: longest_deadline.max(class.latency_objective),
--- a/src/net/consensus/intake/tests.rs
+++ b/src/net/consensus/intake/tests.rs
@@ -1,4 +1,4 @@
-//! The limits on datagrams of one second.
+//! Tests of the limits on datagrams per second.
 
 use super::*;
 
@@ -12,10 +12,10 @@
 }
 
 #[test]
-fn a_quarter_of_a_second_s_datagrams_may_be_outcome_counts() {
+fn quarter_of_datagrams_may_be_outcome_counts() {
     let mut intake = DatagramIntake::new(8);
     assert!(intake.accept(SECOND));
     assert_eq!((0..8).filter(|_| intake.accept_outcome_counts()).count(), 2);
     assert!(intake.accept(2 * SECOND));
-    assert!(intake.accept_outcome_counts(), "a new second begins a new count");
+    assert!(intake.accept_outcome_counts(), "a new second starts a new count");
 }
--- a/src/net/consensus/mod.rs
+++ b/src/net/consensus/mod.rs
@@ -1,9 +1,9 @@
-//! The agreement of limiters on versions of the runtime configuration: the actor that carries a
+//! Consensus of limiters on versions of the runtime configuration. The actor runs a
 //! [`Replica`](sedgestack_consensus::Replica) over the peers' datagrams, stores its state, answers operators' calls,
 //! and reports to the control actor which version is active and until when that is known.
 //!
-//! What must survive a restart is written before any datagram that depends on it is sent. The protocol itself is in
-//! `sedgestack-consensus`, and the documents are in `sedgestack-runtime-config`.
+//! State that must survive a restart is written before any datagram that depends on it is sent. The protocol itself
+//! is in `sedgestack-consensus`, and the documents are in `sedgestack-runtime-config`.
 
 mod actor;
 mod configured_rules;
--- a/src/net/consensus/operator_calls.rs
+++ b/src/net/consensus/operator_calls.rs
@@ -1,4 +1,4 @@
-//! What operators ask of the agreement on versions, and how it is answered.
+//! Operators' calls on the versions of the runtime configuration, and their answers.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 use super::actor::ConsensusActor;
 use crate::say;
 
-/// Why a call was not carried out: the status and text of its HTTP answer.
+/// Reason why a call failed, with the status and text of its HTTP answer.
 #[derive(Debug, thiserror::Error)]
 #[error("{message}")]
 pub struct CallError {
@@ -20,7 +20,7 @@
 }
 
 impl CallError {
-    /// The call itself can't be understood, or asks for what can't be changed in service.
+    /// The call is malformed, or asks for a change that is not possible in service.
     fn bad_request(message: impl ToString) -> CallError {
         CallError { status: 400, message: message.to_string() }
     }
@@ -29,7 +29,7 @@
         CallError { status: 404, message: message.to_string() }
     }
 
-    /// The call doesn't fit the versions as they stand.
+    /// The call conflicts with the current versions.
     fn conflict(message: impl ToString) -> CallError {
         CallError { status: 409, message: message.to_string() }
     }
@@ -38,16 +38,16 @@
         CallError { status: 413, message: message.to_string() }
     }
 
-    /// The document is well formed, and a change to it is not allowed.
+    /// The document is well-formed, but changing to it is not allowed.
     fn unacceptable(message: impl ToString) -> CallError {
         CallError { status: 422, message: message.to_string() }
     }
 }
 
-/// How a call is answered.
+/// Answer to a call.
 pub type Answer = Result<Value, CallError>;
 
-/// What operators ask.
+/// Calls of operators.
 pub enum OperatorCall {
     Status,
     /// Checks a document and keeps it for a commit.
@@ -57,38 +57,38 @@
     /// Proposes the change to a staged document, named by the start of its digest.
     Commit {
         digest: String,
-        /// All replicas but `except` must answer, not only a majority.
-        everyone: bool,
+        /// Requires an answer from all replicas except `except`, instead of a majority.
+        require_all: bool,
         except: BTreeSet<ReplicaId>,
-        /// Also where the active version is pinned.
+        /// Allows the change although the active version is pinned.
         force: bool,
     },
-    /// Proposes the change back to the last document before the active one that had other figures.
+    /// Proposes the change back to the latest document before the active one that had other values.
     Undo {
         force: bool,
     },
-    /// Proposes a version of the same figures that is not watched; where it is pinned, further changes need force.
+    /// Proposes a version with the same values that is not watched. If it is pinned, further changes need `force`.
     Hold {
         pinned: bool,
     },
-    /// Proposes a version of the same figures that is no longer pinned.
+    /// Proposes a version with the same values that is not pinned.
     Unpin,
-    /// Goes on from what is left, where a majority has lost its state.
+    /// Continues from the remaining state after a majority has lost its own.
     Adopt,
 }
 
-/// A call and where its answer goes.
+/// A call and the channel for its answer.
 pub type OperatorRequest = (OperatorCall, oneshot::Sender<Answer>);
 
-/// What became of a proposal.
+/// Outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ProposalOutcome {
     /// Its version is not decided yet.
     Open,
-    /// Its document was decided on.
+    /// Its document was decided.
     Made,
-    /// Its version was voided, or another document took it.
+    /// Its version was voided, or was decided with another document.
     Void,
 }
 
@@ -107,9 +107,9 @@
         match call {
             OperatorCall::Status => Ok(self.status()),
             OperatorCall::Stage { text } => self.stage(&text),
-            OperatorCall::Commit { digest, everyone, except, force } => {
+            OperatorCall::Commit { digest, require_all, except, force } => {
                 self.check_not_pinned(force)?;
-                self.commit(&digest, everyone, &except)
+                self.commit(&digest, require_all, &except)
             }
             OperatorCall::Hold { pinned } => self.hold(pinned),
             OperatorCall::Unpin => self.unpin(),
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Rejects a change of a pinned version that is not forced.
+    /// Rejects a change of a pinned version unless it is forced.
     fn check_not_pinned(&self, force: bool) -> Result<(), CallError> {
-        if force || !self.serving.provenance.pinned {
+        if force || !self.served_document.provenance.pinned {
             return Ok(());
         }
         let (version, _) = self.replica.active_version();
@@ -133,40 +133,40 @@
     fn stage(&mut self, text: &str) -> Answer {
         if text.len() > MAX_DOCUMENT_BYTES {
             return Err(CallError::too_large(format!(
-                "{} bytes; at most {MAX_DOCUMENT_BYTES} fit",
+                "the document has {} bytes; at most {MAX_DOCUMENT_BYTES} are allowed",
                 text.len()
             )));
         }
         let document = Document::parse("document", text).map_err(CallError::bad_request)?;
         self.configured.check_supported(&document).map_err(CallError::bad_request)?;
         let parent = self.check_parent(&document)?;
-        let errors = document.check("document", &self.serving);
+        let errors = document.check("document", &self.served_document);
         if !errors.is_empty() {
             let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
             return Err(CallError::unacceptable(lines.join("\n")));
         }
-        let changes = differences(&self.serving, &document);
+        let changes = differences(&self.served_document, &document);
         let digest = document.digest();
         self.staged.insert(digest, document);
         Ok(json!({"digest": digest.to_string(), "parent": parent, "changes": changes}))
     }
 
-    /// The active version, if the document was made for it.
+    /// Returns the active version if the document is based on it.
     fn check_parent(&self, document: &Document) -> Result<Slot, CallError> {
         let ((version, _), parent) = (self.replica.active_version(), document.provenance.parent);
         if parent == version {
             return Ok(version);
         }
         Err(CallError::conflict(format!(
-            "it was made for version {parent}, and version {version} is in force"
+            "the document was made for version {parent}, but version {version} is active"
         )))
     }
 
-    fn commit(&mut self, digest: &str, everyone: bool, except: &BTreeSet<ReplicaId>) -> Answer {
+    fn commit(&mut self, digest: &str, require_all: bool, except: &BTreeSet<ReplicaId>) -> Answer {
         let document = self.staged_document(digest)?;
         let others = (0..self.replicas).filter(|replica| *replica != self.own);
-        let required = others.filter(|replica| everyone && !except.contains(replica)).collect();
-        // Another version may have been activated since it was staged.
+        let required = others.filter(|replica| require_all && !except.contains(replica)).collect();
+        // Another version may have become active since the document was staged.
         self.check_parent(&document)?;
         self.propose(document, required)
     }
@@ -178,43 +178,47 @@
             [document] => Ok(document.clone()),
             _ => {
                 let count = matches.len();
-                Err(CallError::not_found(format!("{count} staged documents begin with {digest}")))
+                Err(CallError::not_found(format!(
+                    "{count} staged documents have a digest that begins with {digest}"
+                )))
             }
         }
     }
 
-    /// Proposes a version of the same figures that is not watched. It is a version like any other, so that it ends the
-    /// canary analysis of the active one at all limiters or at none.
+    /// Proposes a version with the same values that is not watched. It is decided like any other version, so it ends
+    /// the canary analysis of the active one at all limiters or at none.
     fn hold(&mut self, pinned: bool) -> Answer {
         let (version, _) = self.replica.active_version();
-        let text = self.serving.text_of_held_version(version, pinned);
+        let text = self.served_document.text_of_held_version(version, pinned);
         let document = Document::parse("held", &text).map_err(CallError::conflict)?;
         self.propose(document, BTreeSet::new())
     }
 
     fn unpin(&mut self) -> Answer {
-        if !self.serving.provenance.pinned {
-            return Err(CallError::conflict("the version in force is not pinned"));
+        if !self.served_document.provenance.pinned {
+            return Err(CallError::conflict("the active version is not pinned"));
         }
         self.hold(false)
     }
 
     fn undo(&mut self) -> Answer {
-        let no_previous = || CallError::conflict("there is no version before the one in force");
+        let no_previous = || CallError::conflict("there is no version before the active one");
         let previous = self.previous.clone().ok_or_else(no_previous)?;
         self.propose(previous, BTreeSet::new())
     }
 
     fn adopt(&mut self) -> Answer {
         if !self.replica.awaits_adoption() {
-            return Err(CallError::conflict("this limiter knows its votes, or has heard a majority"));
+            return Err(CallError::conflict(
+                "no adoption is needed: this limiter knows its votes, or has heard a majority",
+            ));
         }
         self.replica.adopt();
-        say!("tier: an operator says to go on from what is left");
+        say!("tier: an operator requested to continue from the remaining state");
         Ok(self.status())
     }
 
-    /// Proposes a document as the next version; it is given up where a replica of `required` doesn't answer.
+    /// Proposes a document as the next version. The proposal is given up if a replica of `required` does not answer.
     pub(super) fn propose(&mut self, document: Document, required: BTreeSet<ReplicaId>) -> Answer {
         let (now, (parent, _)) = (self.now(), self.replica.active_version());
         let digest = document.digest();
@@ -223,7 +227,7 @@
         self.staged.remove(&digest);
         let outcome = ProposalOutcome::Open;
         self.proposal = Some(Proposal { version, digest, outcome, unanswered: Vec::new() });
-        say!("tier: version {version} is begun here");
+        say!("tier: version {version} is proposed here");
         Ok(
             json!({"version": version, "digest": digest.to_string(), "at_us": now + self.settings.activation_delay}),
         )
--- a/src/net/consensus/status.rs
+++ b/src/net/consensus/status.rs
@@ -1,4 +1,4 @@
-//! What `GET /admin/rules` shows.
+//! The answer to `GET /admin/rules`.
 
 use sedgestack_consensus::ReplicaStatus;
 use serde_json::{json, Value};
@@ -8,7 +8,7 @@
 use crate::net::canary::CanaryWatch;
 
 impl ConsensusActor {
-    /// This limiter's view of the versions, as JSON.
+    /// Returns this limiter's view of the versions as JSON.
     pub(super) fn status(&self) -> Value {
         let (version, _) = self.replica.active_version();
         let (decided, value) = self.replica.decided();
@@ -19,7 +19,7 @@
         let known_for = lease.valid_until.saturating_sub(self.now());
         json!({
             "member": self.own, "members": self.replicas, "standing": status_word(self.replica.status()),
-            "version": version, "digest": self.serving.digest().to_string(), "decided": decided,
+            "version": version, "digest": self.served_document.digest().to_string(), "decided": decided,
             "decided_void": value.activates_at().is_none() && decided > 0,
             "known_for_ms": known_for / 1_000,
             "next": next, "begun_here": self.proposal.as_ref().map(proposal_json),
@@ -27,7 +27,7 @@
             "staged": self.staged.keys().map(ToString::to_string).collect::<Vec<_>>(),
             "history": self.history, "stored": self.store.is_persistent(),
             "busiest_second": self.intake.busiest_second(),
-            "text": self.serving.text, "pinned": self.serving.provenance.pinned,
+            "text": self.served_document.text, "pinned": self.served_document.provenance.pinned,
             "watch": self.canary.as_ref().map_or(Value::Null, CanaryWatch::status),
         })
     }
--- a/src/net/consensus/store.rs
+++ b/src/net/consensus/store.rs
@@ -1,4 +1,4 @@
-//! What the consensus actor keeps across restarts.
+//! The state that the consensus actor keeps across restarts.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,29 +12,30 @@
 use crate::net::runtime::metrics::COUNTERS;
 use crate::say;
 
-/// A process that ends releases its sockets and its files in no order: the store follows its sockets within this.
-const RELEASED_WITHIN: Duration = Duration::from_secs(1);
-/// Time between two attempts to open a store that another process holds.
-const OPEN_AGAIN_AFTER: Duration = Duration::from_millis(50);
-/// Versions that `GET /admin/rules` lists.
+/// Maximum time that a replaced process holds the store after it has released its sockets. A process that exits
+/// releases files and sockets in no fixed order.
+const LOCK_RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval between attempts to open a store that another process holds.
+const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of versions that are stored and that `GET /admin/rules` lists.
 const MAX_HISTORY: usize = 32;
 
-/// One version that was decided. It is stored and shown to operators as it stands here.
+/// A decided version. It is stored, and shown to operators, in this form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryEntry {
     pub version: Slot,
     pub digest: String,
-    /// The change was voided: the document of the version before stays active.
+    /// Whether the change was voided, so that the document of the previous version stays active.
     #[serde(rename = "void")]
     pub is_void: bool,
-    /// Its activation, Unix microseconds; 0 for a void one.
+    /// Time of activation, in Unix microseconds; 0 if the change was voided.
     #[serde(rename = "at")]
     pub activates_at: Micros,
     pub author: String,
     pub reason: String,
 }
 
-/// The versions that were decided lately, the latest last.
+/// The latest decided versions, oldest first.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct History {
@@ -42,7 +43,7 @@
 }
 
 impl History {
-    /// Adds the latest version, and drops the oldest where there are too many.
+    /// Adds the latest version, and removes the oldest if there are too many.
     pub fn push(&mut self, entry: HistoryEntry) {
         self.entries.push_back(entry);
         while self.entries.len() > MAX_HISTORY {
@@ -51,48 +52,49 @@
     }
 }
 
-/// What is stored.
+/// The contents of the store.
 #[derive(Serialize, Deserialize)]
 pub struct StoredState {
     snapshot: Vec<u8>,
     pub history: History,
-    /// The text of the document that an undo would return to.
+    /// The text of the document that an undo returns to.
     #[serde(rename = "before")]
     pub previous: Option<String>,
 }
 
 impl StoredState {
-    /// The replica's state; `None` where it can't be read.
+    /// Returns the replica's state, or `None` if it can't be decoded.
     pub fn snapshot(&self) -> Option<Snapshot> {
         Snapshot::decode(&self.snapshot)
     }
 }
 
-/// The file that holds the state, where the settings name one.
+/// The file that stores the state, if the settings name one.
 pub struct StateStore {
     store: Option<Store>,
-    /// The snapshot as it was stored last.
+    /// The snapshot that was stored last.
     saved_snapshot: Vec<u8>,
+    /// Whether anything besides the snapshot has changed since it was stored.
     has_unsaved_events: bool,
 }
 
 impl StateStore {
-    /// A store in `store`; without one nothing is kept.
+    /// Creates a state store that writes to `store`, or keeps nothing if there is none.
     fn new(store: Option<Store>) -> StateStore {
         StateStore { store, saved_snapshot: Vec::new(), has_unsaved_events: false }
     }
 
-    /// Whether there is a file.
+    /// Whether the state is stored in a file.
     pub fn is_persistent(&self) -> bool {
         self.store.is_some()
     }
 
-    /// Something beside the snapshot has changed.
+    /// Records that something besides the snapshot has changed.
     pub fn mark_changed(&mut self) {
         self.has_unsaved_events = true;
     }
 
-    /// Stores the state if it has changed; false where it can't be stored.
+    /// Stores the state if it has changed. Returns false if it can't be stored.
     pub fn save(&mut self, replica: &Replica, history: &History, previous: Option<&str>) -> bool {
         let Some(store) = &self.store else { return true };
         let snapshot = replica.snapshot().encode();
@@ -104,10 +106,10 @@
             history: history.clone(),
             previous: previous.map(str::to_string),
         };
-        let bytes = serde_json::to_vec(&state).expect("the state contains nothing that JSON can't express");
+        let bytes = serde_json::to_vec(&state).expect("the state can be expressed as JSON");
         if let Err(e) = store.save(&bytes) {
             COUNTERS.tier_unsaved.increment();
-            say!("tier: {e}; nothing is sent");
+            say!("tier: {e}; no datagrams are sent");
             return false;
         }
         COUNTERS.tier_saved.increment();
@@ -116,25 +118,25 @@
     }
 }
 
-/// Opens the store that the settings name for the limiter `name`, and reads the state that it holds. A file that
-/// can't be used is set aside, logged and counted.
+/// Opens the store that the settings name for the limiter `name`, and reads its state. A file that can't be used is
+/// set aside, logged and counted.
 ///
 /// # Errors
-/// Where neither it nor a new one can be opened.
+/// Returns an error if neither the existing file nor a new one can be opened.
 pub async fn open(file: Option<&str>, name: &str) -> Result<(StateStore, Option<StoredState>), StoreError> {
     let Some(file) = file else { return Ok((StateStore::new(None), None)) };
     let path = file.replace("{name}", name);
-    let deadline = Instant::now() + RELEASED_WITHIN;
+    let deadline = Instant::now() + LOCK_RELEASE_TIMEOUT;
     let opened = loop {
         match Store::open(path.as_ref()) {
-            Err(e) if e.locked && Instant::now() < deadline => sleep(OPEN_AGAIN_AFTER).await,
+            Err(e) if e.locked && Instant::now() < deadline => sleep(OPEN_RETRY_INTERVAL).await,
             other => break other?,
         }
     };
     if let Some(aside) = opened.quarantined {
         COUNTERS.tier_set_aside.increment();
         say!(
-            "tier: store: {path}: {}; set aside as {}, votes are forgotten",
+            "tier: store: {path}: {}; set aside as {}, its votes are lost",
             aside.reason,
             aside.moved_to.display()
         );
--- a/src/net/listener/accept.rs
+++ b/src/net/listener/accept.rs
@@ -49,7 +49,7 @@
 /// Binds the address for clients with SO_REUSEPORT, so that the process that replaces this one can listen on it at
 /// the same time. Returns an error if the address can't be bound.
 fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
-    let listener = socket_reuse::listener(listen)?;
+    let listener = socket_reuse::bind_listener(listen)?;
     say!("front: listening on {}", listener.local_addr()?);
     Ok(listener)
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,4 +1,4 @@
-//! The actor for datagrams between limiters, of 256 bytes at most.
+//! The actor for datagrams between limiters, which have at most 256 bytes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use crate::net::runtime::socket_reuse;
 use crate::say;
 
-/// A datagram to be sent.
+/// A datagram to send.
 pub enum OutgoingDatagram {
     /// To all peers.
     Broadcast(Vec<u8>),
@@ -24,12 +24,12 @@
     To(u32, Vec<u8>),
 }
 
-/// The longest datagram that the platform allows.
+/// Maximum size of a datagram. The platform allows no longer ones.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Backoff after a read that failed. Guards the other actors: an error that persists would be met again at once.
+/// Backoff after a failed read. Without it, a persistent error would keep the actor busy and starve the others.
 const READ_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The socket between the limiters of a deployment.
+/// The socket for datagrams between the limiters of a deployment.
 pub struct Peers {
     socket: UdpSocket,
     addresses: Vec<SocketAddr>,
@@ -39,11 +39,11 @@
 }
 
 impl Peers {
-    /// Binds the socket; `addresses` are the limiters' in the order of their numbers, with this one at `own`. Unless it
-    /// is `shared`, no other process can bind the address beside this one.
+    /// Binds the socket. `addresses` are those of the limiters in the order of their numbers, including this one at
+    /// `own`. Unless `shared` is set, no other process can bind the address at the same time.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn bind(
         listen: SocketAddr,
         addresses: Vec<SocketAddr>,
@@ -51,19 +51,23 @@
         own: u32,
         shared: bool,
     ) -> io::Result<Peers> {
-        let socket = if shared { socket_reuse::datagrams(listen)? } else { UdpSocket::bind(listen).await? };
+        let socket = if shared {
+            socket_reuse::bind_datagram_socket(listen)?
+        } else {
+            UdpSocket::bind(listen).await?
+        };
         Ok(Peers { socket, addresses, broadcast, own })
     }
 
-    /// Sends the datagrams of the mailbox, and passes on what peers send: datagrams of the consensus group and of canary
-    /// analysis to the consensus actor, if there is one, all others to the control actor.
+    /// Sends the datagrams from the mailbox, and passes on those received from peers: datagrams of consensus and of
+    /// canary analysis to the consensus actor, if there is one, all others to the control actor.
     pub async fn run(
         self,
         mut mailbox: mpsc::Receiver<OutgoingDatagram>,
         control: mpsc::Sender<Message>,
         consensus: Option<mpsc::Sender<Vec<u8>>>,
     ) {
-        // One byte more than allowed, to tell a longer datagram from a full one.
+        // One byte more than allowed, to tell a datagram that is too long from one of the maximum size.
         let mut buffer = [0u8; MAX_DATAGRAM_BYTES + 1];
         loop {
             tokio::select! {
@@ -84,7 +88,7 @@
                     let Some(from) = from.filter(|n| *n != self.own && length <= MAX_DATAGRAM_BYTES) else { continue };
                     COUNTERS.peer_received.increment();
                     let bytes = buffer[..length].to_vec();
-                    // Datagrams may be lost, so a full mailbox drops them.
+                    // Datagrams may be lost anyway, so they are dropped if the mailbox is full.
                     match &consensus {
                         Some(consensus) if is_for_consensus(&bytes) => {
                             let _ = consensus.try_send(bytes);
@@ -100,9 +104,12 @@
 
     fn send(&self, datagram: &OutgoingDatagram) {
         let (OutgoingDatagram::Broadcast(bytes) | OutgoingDatagram::To(_, bytes)) = datagram;
-        // Guards the result of a run on the platform: a longer datagram makes it void.
+        // A longer datagram would make a run on the platform void.
         if bytes.len() > MAX_DATAGRAM_BYTES {
-            return say!("peers: a message of {} bytes is not sent", bytes.len());
+            return say!(
+                "peers: datagram of {} bytes is not sent: at most {MAX_DATAGRAM_BYTES} are allowed",
+                bytes.len()
+            );
         }
         for address in self.recipients(datagram) {
             match self.socket.try_send_to(bytes, address) {
@@ -126,7 +133,7 @@
     }
 }
 
-/// Whether a datagram is one of the consensus group or of canary analysis.
+/// Whether a datagram belongs to consensus or canary analysis.
 fn is_for_consensus(bytes: &[u8]) -> bool {
     matches!(bytes.first(), Some(&CONSENSUS_MAGIC | &TALLIES_MAGIC))
 }
--- a/src/net/peers/tests.rs
+++ b/src/net/peers/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Datagrams of unknown senders, and too long ones in either direction, are dropped; those of the consensus group
-/// and of canary analysis go to the consensus actor.
+/// Datagrams from unknown senders are dropped, and so are those that are too long in either direction. Datagrams of
+/// consensus and canary analysis go to the consensus actor.
 #[tokio::test]
-async fn only_datagrams_of_known_peers_and_of_at_most_256_bytes_pass() {
+async fn passes_only_datagrams_of_known_peers_up_to_256_bytes() {
     let local = || async { UdpSocket::bind("127.0.0.1:0").await.expect("loopback has a port") };
     let (peer, stranger) = (local().await, local().await);
     let own: SocketAddr = "127.0.0.1:1".parse().expect("an address");
--- a/src/net/runtime/clock.rs
+++ b/src/net/runtime/clock.rs
@@ -5,20 +5,21 @@
 use sedgestack::Micros;
 use tokio::time::{Duration, Instant};
 
-/// Read once from the system clock and advanced by the monotonic clock from then on. The machines of a deployment share
-/// one time, and a step of the system clock must not reach the decisions.
+/// A clock that is read from the system clock once and then advanced by the monotonic clock. The machines of a
+/// deployment share one time, and a later step of the system clock must not affect decisions.
 #[derive(Clone, Copy)]
 pub struct Clock {
     epoch: Micros,
     origin: Instant,
 }
 
-/// How often both clocks are read at a start.
+/// Number of times that both clocks are read at the start.
 const START_SAMPLES: u32 = 8;
 
 impl Clock {
-    /// Reads the system clock, and takes the sample that took least time. Guards against a process that is preempted
-    /// between reading its two clocks: it would be behind by that time for as long as it runs.
+    /// Reads the system clock several times and keeps the sample that took the least time. If the process is
+    /// preempted between reading its two clocks, its time would otherwise be behind by that delay for as long as it
+    /// runs.
     pub fn start() -> Clock {
         let sample = |_| {
             let before = Instant::now();
@@ -32,17 +33,17 @@
             .expect("there is at least one sample")
     }
 
-    /// The clock's time at an instant.
+    /// Returns the clock's time at `instant`.
     pub fn at(&self, instant: Instant) -> Micros {
         self.epoch + instant.saturating_duration_since(self.origin).as_micros() as Micros
     }
 
-    /// The clock's time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
 
-    /// The instant at which the clock shows `time`.
+    /// Returns the instant at which the clock shows `time`.
     pub fn instant(&self, time: Micros) -> Instant {
         self.origin + Duration::from_micros(time.saturating_sub(self.epoch))
     }
--- a/src/net/runtime/handover.rs
+++ b/src/net/runtime/handover.rs
@@ -1,8 +1,8 @@
-//! The handover between two processes of a limiter: the new one waits until the old one has exited.
+//! Handover between two processes of a limiter: the new process waits until the old one has exited.
 //!
-//! Two processes that act as the same replica could give contradictory votes. So where limiters agree on versions of the
-//! runtime configuration, the new process of an upgrade binds nothing until the old one has closed its sockets to
-//! operators and peers.
+//! Two processes that act as the same replica could cast contradictory votes. If limiters agree on versions of the
+//! runtime configuration, the new process of an upgrade therefore binds no address until the old one has closed its
+//! sockets for operators and peers.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 use crate::say;
 
-/// Time between two checks whether the addresses are free.
+/// Interval between two checks whether the addresses are free.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits until no other process has the operators' or the peers' address bound, up to `deadline`. If one still has,
-/// binding the address fails afterwards and names it.
+/// Waits until no other process has the operators' or the peers' address bound, or until `deadline`. If an address is
+/// still bound then, binding it fails later with an error that names it.
 pub async fn wait_for_predecessor(ops: Option<SocketAddr>, peers: Option<SocketAddr>, deadline: Instant) {
     let are_free = || {
         ops.is_none_or(|address| TcpListener::bind(address).is_ok())
@@ -24,7 +24,7 @@
     if are_free() {
         return;
     }
-    say!("hand-over: waits for the process before this one to leave");
+    say!("hand-over: waits for the previous process to exit");
     while !are_free() && Instant::now() < deadline {
         sleep(CHECK_INTERVAL).await;
     }
--- a/src/net/runtime/log.rs
+++ b/src/net/runtime/log.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error by `tracing`, as text or JSON, with a limit on lines a second.
+//! The log: lines written to standard error with `tracing`, as text or JSON, limited in number per second.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -6,7 +6,7 @@
 
 use crate::net::runtime::metrics::COUNTERS;
 
-/// More lines than this in a second are left out. Guards standard error and its reader against a flood.
+/// Maximum number of log lines per second. Further ones are left out to protect standard error and its reader.
 const MAX_LINES_PER_SECOND: u64 = 20;
 
 static LINE_RATE: LineRate = LineRate::new();
@@ -17,17 +17,17 @@
 static ACTIVE_VERSION: AtomicU64 = AtomicU64::new(NO_VERSION);
 const NO_VERSION: u64 = u64::MAX;
 
-/// JSON lines name this version of the runtime configuration from now on.
+/// Sets the version of the runtime configuration that JSON lines name.
 pub fn set_active_version(version: u64) {
     ACTIVE_VERSION.store(version, Relaxed);
 }
 
-/// The version of the runtime configuration that a line names.
+/// Returns the version of the runtime configuration that a line must name, if any.
 pub fn active_version() -> Option<u64> {
     Some(ACTIVE_VERSION.load(Relaxed)).filter(|v| *v != NO_VERSION && IS_JSON.load(Relaxed))
 }
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
     #[default]
@@ -35,7 +35,7 @@
     Json,
 }
 
-/// Starts the log. Lines written before are lost; a second start changes nothing.
+/// Starts the log. Lines written before are lost. A second call has no effect.
 pub fn start(format: Format) {
     let lines = tracing_subscriber::fmt().with_writer(io::stderr).with_ansi(false).with_target(false);
     IS_JSON.store(format == Format::Json, Relaxed);
@@ -45,7 +45,7 @@
     };
 }
 
-/// Prints the counters as one line, in the log's format.
+/// Prints the counters as one line in the format of the log.
 pub fn print_counters() {
     if IS_JSON.load(Relaxed) {
         eprintln!("{}", COUNTERS.json());
@@ -65,8 +65,8 @@
         LineRate { second: AtomicU64::new(0), lines: AtomicU64::new(0) }
     }
 
-    /// Whether a line may be written in this second: `Some` with the number of lines left out in the last second before
-    /// it that had any.
+    /// Returns `Some` if a line may be written in `second`. The value is the number of lines left out in the latest
+    /// earlier second that had lines; it is 0 unless this is the first line of its second.
     fn admit(&self, second: u64) -> Option<u64> {
         let is_same_second = self.second.swap(second, Relaxed) == second;
         let before = if is_same_second { 0 } else { self.lines.swap(0, Relaxed) };
@@ -75,12 +75,12 @@
     }
 }
 
-/// Whether a line may be written now: `Some` with the number of lines left out before it.
+/// Returns `Some` if a line may be written now, with the number of lines left out before it.
 pub fn acquire_line() -> Option<u64> {
     LINE_RATE.admit(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs())
 }
 
-/// Writes a line to the log, unless the limit for this second is reached.
+/// Writes a line to the log, unless the limit for the current second is reached.
 #[macro_export]
 macro_rules! say {
     ($($words:tt)*) => {
--- a/src/net/runtime/log/tests.rs
+++ b/src/net/runtime/log/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_flood_is_limited_and_the_lines_left_out_are_counted() {
+fn excess_lines_are_left_out_and_counted() {
     let rate = LineRate::new();
     let written = (0..50).filter(|_| rate.admit(7) == Some(0)).count() as u64;
     assert_eq!(written, MAX_LINES_PER_SECOND);
--- a/src/net/runtime/metrics.rs
+++ b/src/net/runtime/metrics.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// A count that only increases.
+/// A counter that only increases.
 pub struct Counter(AtomicU64);
 
 impl Counter {
@@ -17,7 +17,7 @@
         self.add(1);
     }
 
-    /// The current count.
+    /// Returns the current count.
     #[cfg(test)]
     pub fn get(&self) -> u64 {
         self.0.load(Relaxed)
@@ -26,14 +26,14 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// All counters; printed as `name=value` pairs.
+        /// All counters. They are printed as `name=value` pairs.
         pub struct Counters { $($(#[$doc])* pub $name: Counter,)* }
 
-        /// The process's counters.
+        /// The counters of this process.
         pub static COUNTERS: Counters = Counters { $($name: Counter(AtomicU64::new(0)),)* };
 
         impl Counters {
-            /// All counters as one line of JSON.
+            /// Returns all counters as one line of JSON.
             pub fn json(&self) -> String {
                 let pairs = [$((stringify!($name), self.$name.0.load(Relaxed))),*];
                 let pairs: serde_json::Map<_, _> =
@@ -56,16 +56,17 @@
     /// Downstream connections accepted, and accepts that failed.
     downstream_accepted,
     downstream_accept_failed,
-    /// Downstream connections closed: their request was incomplete in time, they were idle, the client did not read its
-    /// answer; and, for want of capacity, those with an unfinished request and idle ones.
+    /// Downstream connections closed because their request did not arrive in time, because they were idle, or because
+    /// the client did not read its answer. The last two count connections closed for lack of capacity: with an
+    /// unfinished request, and idle.
     downstream_closed_unfinished,
     downstream_closed_idle,
     downstream_closed_unread,
     downstream_room_unfinished,
     downstream_room_idle,
-    /// Requests that went to the control actor.
+    /// Requests passed to the control actor.
     taken,
-    /// Requests answered without the control actor: 400, 404, 409, 413, and rejections for want of capacity.
+    /// Requests answered without the control actor: 400, 404, 409, 413, and 429 because its mailbox was full.
     malformed,
     unknown_path,
     already_open,
@@ -75,7 +76,7 @@
     served,
     rejections,
     failed,
-    /// Answers given because the control actor's did not come in time.
+    /// Requests answered with 504 because the control actor's reply did not come in time.
     last_resort,
     /// Clients that disconnected before their answer.
     abandoned,
@@ -91,11 +92,12 @@
     attempts_not_sent,
     /// Attempts moved to another connection because theirs had been closed while idle.
     attempts_redialled,
-    /// Connections opened to backends, and dials that failed.
+    /// Connections opened to backends, and connection attempts that failed.
     dials,
     dials_failed,
-    /// Connections of any kind that are used though TCP_NODELAY could not be set, and calls on sockets that failed
-    /// because of this machine, not of the other side: each cost a connection, a check of one or a datagram.
+    /// Connections of any kind that are used although TCP_NODELAY could not be set, and calls on sockets that failed
+    /// because of this machine rather than the other side. Each failed call costs a connection, a check of a
+    /// connection or a datagram.
     sockets_delayed,
     sockets_failed,
     probes,
@@ -109,44 +111,44 @@
     /// Changes of the endpoint list, and watches opened.
     list_changes,
     list_watches,
-    /// Endpoints that could not be read.
+    /// Endpoints that could not be parsed.
     list_unreadable,
-    /// Datagrams of the consensus group: sent, received, dropped as over the limit for a second, of an unknown format, and
-    /// damaged or not from a replica.
+    /// Consensus datagrams: sent, received, dropped because of the limit per second, of unknown format, and damaged
+    /// or not from a replica.
     tier_sent,
     tier_taken_in,
     tier_over,
     tier_unknown_format,
     tier_unheard,
-    /// Datagrams of canary analysis: received, dropped as over their part of the limit, and damaged or of a version that
-    /// is not watched here; and automatic rollbacks begun here.
+    /// Datagrams of canary analysis: received, dropped because of their part of the limit, and damaged or about a
+    /// version that is not watched here. The last counts automatic rollbacks proposed here.
     tallies_taken_in,
     tallies_over,
     tallies_unheard,
     undone,
-    /// Writes of the consensus state, those that failed, and files set aside at a start.
+    /// Writes of the consensus state: successful, failed; and files quarantined at a start.
     tier_saved,
     tier_unsaved,
     tier_set_aside,
-    /// Requests rejected because the active version of the runtime configuration was not known.
+    /// Requests rejected because the active version of the runtime configuration was unknown.
     rules_unknown,
     peer_sent,
     peer_received,
-    /// Reloads of the configuration, and those refused because of an error in it.
+    /// Reloads of the configuration, and reloads refused because of an error in it.
     reloads,
     reloads_refused,
-    /// Records written to the capture, and those dropped.
+    /// Records written to the capture, and records dropped.
     captured,
     capture_dropped,
-    /// Batches handed to the decisions, and events in them.
+    /// Batches of events passed to the decisions, and the events in them.
     batches,
     events,
-    /// Calls to the operators' address that succeeded, and those answered with an error.
+    /// Calls to the operators' address that succeeded, and calls answered with an error.
     ops_calls,
     ops_refused,
     /// Connections to the operators' address closed because their call was incomplete in time.
     ops_unfinished,
-    /// Files of cordons that could not be read at the start, or written.
+    /// Files of cordons that could not be read, and that could not be written.
     cordons_unreadable,
     cordons_unwritten,
 }
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! What all parts of the daemon use: clock, log, counters, signals and socket options.
+//! Infrastructure that all parts of the daemon use: clock, log, counters, signals, handover and socket options.
 
 pub mod clock;
 pub mod handover;
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM or SIGINT shuts down gracefully, SIGHUP reads the addresses again, SIGUSR1 prints the counters.
+//! Signals: SIGTERM and SIGINT shut down gracefully, SIGHUP reloads the addresses, SIGUSR1 prints the counters.
 
 use std::io;
 use std::sync::{Arc, OnceLock};
@@ -14,36 +14,40 @@
 use crate::net::runtime::metrics::COUNTERS;
 use crate::say;
 
-/// How long connections are accepted after SIGTERM: clients open them for up to 400 ms, and one may be on its way.
+/// How long connections are still accepted after SIGTERM. Clients take up to 400 ms to open one, and it may be on its
+/// way.
 const ACCEPT_GRACE: Duration = Duration::from_millis(450);
-/// The process goes on for this long at least, and takes a longest deadline that is longer for this as it reckons when it
-/// may be killed: the platform's page can be read in both ways.
-const COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// The platform kills the process no sooner than this after the longest deadline; the process exits in this time.
+/// Deadline from which the platform may count the time to the kill, in place of the longest deadline: its
+/// documentation allows both readings. The process relies on the shorter one when a late request must be answered,
+/// and stays up for the longer one.
+const ALTERNATIVE_DEADLINE: Duration = Duration::from_secs(3);
+/// Minimum time from the deadline to the kill by the platform. The process exits when this time has passed.
 const KILL_DELAY: Duration = Duration::from_millis(600);
-/// All answers are given by this long before the process exits.
+/// Time between the last answer and the exit of the process.
 const ANSWER_MARGIN: Duration = Duration::from_millis(100);
-/// What arrives later than this in a shutdown is lost if the kill finds it unanswered. The platform allows 0.7 s.
+/// Requests that arrive later than this in a shutdown must be answered before the earliest possible kill, or they are
+/// lost. The platform's limit for this is 0.7 s.
 const LATE_AFTER: Duration = Duration::from_millis(600);
 
-/// When requests that are accepted must be answered, set once the process is told to stop.
+/// The time by which accepted requests must be answered, set once the process is told to stop.
 #[derive(Clone, Default)]
 pub struct ShutdownDeadline(Arc<OnceLock<ShutdownTimes>>);
 
-/// The times of a shutdown.
+/// Points in time of a shutdown.
 struct ShutdownTimes {
+    /// Requests that arrive from here on count as late.
     late_from: Instant,
-    /// By then all requests must be answered that arrived from `late_from` on: the process may be killed right after.
+    /// Time by which late requests must be answered: the process may be killed right after.
     answer_late_by: Instant,
-    /// By then all requests must be answered.
+    /// Time by which all other requests must be answered.
     answer_by: Instant,
     exit_at: Instant,
 }
 
 impl ShutdownTimes {
     fn new(stopped_at: Instant, longest_deadline: Duration) -> ShutdownTimes {
-        let exit_at = stopped_at + longest_deadline.max(COUNTED_DEADLINE) + KILL_DELAY;
-        let earliest_kill = stopped_at + longest_deadline.min(COUNTED_DEADLINE) + KILL_DELAY;
+        let exit_at = stopped_at + longest_deadline.max(ALTERNATIVE_DEADLINE) + KILL_DELAY;
+        let earliest_kill = stopped_at + longest_deadline.min(ALTERNATIVE_DEADLINE) + KILL_DELAY;
         ShutdownTimes {
             late_from: stopped_at + LATE_AFTER,
             answer_late_by: earliest_kill - ANSWER_MARGIN,
@@ -54,7 +58,7 @@
 }
 
 impl ShutdownDeadline {
-    /// The earlier one of `deadline` and when a request that is accepted now must be answered.
+    /// Returns the earlier of `deadline` and the time by which a request that is accepted now must be answered.
     pub fn cap(&self, deadline: Instant) -> Instant {
         let Some(times) = self.0.get() else { return deadline };
         let is_late = Instant::now() >= times.late_from;
@@ -62,14 +66,15 @@
     }
 }
 
-/// How far the process is on its way to its exit.
+/// Phase of the process on its way to the exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Ready for new clients.
     Serving,
-    /// Drained by an operator: not ready, and each client's connection closes after its answer; the process goes on.
+    /// Drained by an operator: not ready, and each client's connection closes after its next answer. The process
+    /// keeps running.
     Quiesced,
-    /// Told to stop: answers all requests, and still accepts connections.
+    /// Told to stop: still accepts connections and answers all requests.
     Stopping,
     /// Accepts no more connections.
     Closing,
@@ -84,8 +89,8 @@
 }
 
 impl Signals {
-    /// Installs the handlers. Guards a start: a SIGTERM that comes as soon as the listener is bound must not kill the
-    /// process outright.
+    /// Installs the signal handlers. This must happen before the listener is bound: a SIGTERM right after that must
+    /// not kill the process without a graceful shutdown.
     pub fn install() -> io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -96,7 +101,7 @@
     }
 
     /// Handles signals. Returns when the process must exit, even if requests are still open.
-    pub async fn follow(
+    pub async fn handle(
         mut self,
         phase: watch::Sender<Phase>,
         addresses: watch::Sender<Addresses>,
@@ -120,8 +125,8 @@
     }
 }
 
-/// Reads the configuration again and publishes the addresses of discovery and the counter. Guards a reload of a file
-/// that is faulty or missing: the current addresses stay.
+/// Reads the configuration again and publishes the addresses of discovery and the quota counter. If the file is
+/// invalid or missing, the current addresses stay.
 fn reload(addresses: &watch::Sender<Addresses>) {
     let current = *addresses.borrow();
     match config::read_addresses(current) {
@@ -132,7 +137,7 @@
         }
         Err(e) => {
             COUNTERS.reloads_refused.increment();
-            say!("reload refused, nothing changes: {e}");
+            say!("reload refused, the current addresses stay: {e}");
         }
     }
 }
--- a/src/net/runtime/socket_errors.rs
+++ b/src/net/runtime/socket_errors.rs
@@ -1,4 +1,4 @@
-//! System calls on sockets that fail because of this machine, not of the other side: each is counted and logged.
+//! Counts and logs system calls on sockets that fail because of this machine rather than the other side.
 
 use std::fmt::Display;
 use std::io::{Error, ErrorKind, Result};
@@ -9,7 +9,7 @@
 use crate::net::runtime::metrics::COUNTERS;
 use crate::say;
 
-/// Whether an error comes from the other side or the network, as may happen to every connection.
+/// Whether the other side or the network caused an error, as can happen on any connection.
 fn is_remote(e: &Error) -> bool {
     matches!(
         e.kind(),
@@ -27,8 +27,8 @@
     )
 }
 
-/// Counts and logs a failed call on a socket, unless the other side caused it. Guards diagnosis: a fault of this machine,
-/// or of a layer between, would otherwise look like overloaded backends.
+/// Counts and logs a failed call on a socket, unless the other side caused the failure. Without this, a fault of this
+/// machine, or of a layer in between, would look like overloaded backends.
 pub fn record_failure(owner: impl Display, operation: &str, e: &Error) {
     if e.raw_os_error().is_some() && !is_remote(e) {
         COUNTERS.sockets_failed.increment();
@@ -36,7 +36,7 @@
     }
 }
 
-/// Passes the result of a call on, and records it where it failed.
+/// Returns the result of a call unchanged, and records it if it failed.
 pub fn record_if_failed<T>(owner: impl Display, operation: &str, result: Poll<Result<T>>) -> Poll<Result<T>> {
     result.map_err(|e| {
         record_failure(owner, operation, &e);
@@ -44,12 +44,12 @@
     })
 }
 
-/// Has written bytes sent at once. Guards connections: one that can't be set so still works, and dropping it would mean
-/// to dial again for every call.
+/// Disables Nagle's algorithm, so that written bytes are sent at once. If that fails, the connection is used anyway:
+/// it still works, and dropping it would mean to connect again for every call.
 pub fn disable_nagle(stream: &TcpStream, owner: impl Display) {
     if let Err(e) = stream.set_nodelay(true) {
         COUNTERS.sockets_delayed.increment();
-        say!("{owner}: the connection may send late: {e}");
+        say!("{owner}: TCP_NODELAY can't be set, writes may be delayed: {e}");
     }
 }
 
--- a/src/net/runtime/socket_errors/tests.rs
+++ b/src/net/runtime/socket_errors/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Errors that the other side causes are not counted; those that only this machine can cause are.
+/// Errors that the other side causes are not counted; errors that only this machine can cause are.
 #[test]
 fn only_failures_of_this_machine_are_counted() {
     let before = COUNTERS.sockets_failed.get();
--- a/src/net/runtime/socket_reuse.rs
+++ b/src/net/runtime/socket_reuse.rs
@@ -1,5 +1,5 @@
-//! Sockets bound with SO_REUSEPORT: in an upgrade the new process binds the same addresses beside the old one, and both
-//! receive traffic until the old one exits.
+//! Binds sockets with SO_REUSEPORT. During an upgrade, the new process binds the same addresses as the old one, and
+//! both receive traffic until the old one exits.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::net::{TcpListener, UdpSocket};
 
-/// Connections that the kernel queues for a listener until they are accepted.
+/// Maximum number of connections that the kernel queues until they are accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 
 fn bind(address: SocketAddr, kind: Type, protocol: Protocol) -> io::Result<Socket> {
@@ -19,21 +19,21 @@
     Ok(socket)
 }
 
-/// A listener at `address`.
+/// Binds a TCP listener to `address`.
 ///
 /// # Errors
-/// Where the address can't be bound, or another socket has it bound without SO_REUSEPORT.
-pub fn listener(address: SocketAddr) -> io::Result<TcpListener> {
+/// Returns an error if the address can't be bound, in particular if another socket has bound it without SO_REUSEPORT.
+pub fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = bind(address, Type::STREAM, Protocol::TCP)?;
     socket.listen(LISTEN_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
 
-/// A datagram socket at `address`.
+/// Binds a UDP socket to `address`.
 ///
 /// # Errors
-/// As for [`listener`].
-pub fn datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
+/// The same as for [`bind_listener`].
+pub fn bind_datagram_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::from_std(bind(address, Type::DGRAM, Protocol::UDP)?.into())
 }
 
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -107,7 +107,7 @@
         ready: ready.clone(),
         stats: stats.clone(),
         cordoned: config
-            .cordons
+            .cordon_file
             .as_deref()
             .map(cordons::read)
             .unwrap_or_default()
@@ -139,10 +139,10 @@
         Listener::new(config.names, &config.settings, longest_deadline, ready, shutdown, messages, stats);
     let address = config.listen;
     tokio::select! {
-        served = listener::serve(address, config.downstream_connections, listener) => {
+        served = listener::serve(address, config.max_downstream_connections, listener) => {
             served.map_err(|source| RunError::Listen { address, source })
         }
-        () = signals.follow(phase, address_updates, longest_deadline, shutdown_deadline) => Ok(()),
+        () = signals.handle(phase, address_updates, longest_deadline, shutdown_deadline) => Ok(()),
         ended = control_actor => Err(RunError::ControlActor(ended)),
     }
 }
@@ -173,12 +173,12 @@
 async fn wait_for_predecessor(config: &Config, tier: Option<&TierSettings>) {
     if let Some(tier) = tier.filter(|tier| tier.handover_wait > 0) {
         let deadline = Instant::now() + config::duration(tier.handover_wait);
-        handover::wait_for_predecessor(config.ops, config.peer_listen, deadline).await;
+        handover::wait_for_predecessor(config.admin_listen, config.peer_listen, deadline).await;
     }
 }
 
 async fn bind_admin(config: &Config) -> Result<Option<TcpListener>, RunError> {
-    let Some(address) = config.ops else { return Ok(None) };
+    let Some(address) = config.admin_listen else { return Ok(None) };
     Ok(Some(admin::bind(address).await?))
 }
 
@@ -187,7 +187,7 @@
         names: config.names.clone(),
         connect_timeout: config::duration(config.limits.connect_timeout),
         keepalive: config::duration(config.limits.keepalive),
-        sockets: Arc::new(Semaphore::new(config.destination_sockets)),
+        sockets: Arc::new(Semaphore::new(config.upstream_sockets)),
         module: messages.clone(),
         figures: stats.clone(),
     }
@@ -225,7 +225,7 @@
     // replica that votes twice.
     let is_shared = replica_datagrams.is_none();
     let (peers, own) = (config.peers.clone(), config.settings.limiter);
-    let actor = Peers::bind(address, peers, config.peers_all, own, is_shared)
+    let actor = Peers::bind(address, peers, config.peer_broadcast, own, is_shared)
         .await
         .map_err(|source| RunError::PeerListen { address, source })?;
     let (datagrams, mailbox) = mpsc::channel(SMALL_MAILBOX);
@@ -250,8 +250,8 @@
     addresses: watch::Receiver<Addresses>,
 ) -> Result<mpsc::Receiver<EndpointsChange>, RunError> {
     let (sender, changes) = mpsc::channel(SMALL_MAILBOX);
-    sender.try_send(config.known.clone()).map_err(|_| RunError::EndpointMailbox)?;
-    tokio::spawn(discovery::run(discovery::connector(), addresses, config.known.version, sender));
+    sender.try_send(config.initial_endpoints.clone()).map_err(|_| RunError::EndpointMailbox)?;
+    tokio::spawn(discovery::run(discovery::connector(), addresses, config.initial_endpoints.version, sender));
     Ok(changes)
 }
 
@@ -292,7 +292,7 @@
     control: mpsc::Sender<Control>,
     operator_calls: Option<mpsc::Sender<OperatorRequest>>,
 ) {
-    let (cordon_file, cordon_lock) = (config.cordons.clone(), Arc::<Mutex<()>>::default());
+    let (cordon_file, cordon_lock) = (config.cordon_file.clone(), Arc::<Mutex<()>>::default());
     if let Some(file) = cordon_file.clone() {
         tokio::spawn(cordons::watch_file(file, cordon_lock.clone(), control.clone()));
     }
--- a/tests/compatibility/tier.rs
+++ b/tests/compatibility/tier.rs
@@ -31,7 +31,7 @@
         folder.path("tier.redb").display()
     );
     let mut daemon = Daemon::start(folder, &alone, &settings);
-    daemon.until("tier: stands Current");
+    daemon.until("tier: replica status Current");
     daemon
 }
 
@@ -89,10 +89,10 @@
     let staged = session.ask("PUT", "/admin/rules/stage", CHANGE);
     let digest = staged["digest"].as_str().expect("a digest");
     session.ask("PUT", &format!("/admin/rules/commit?digest={digest}"), "");
-    session.daemon.until("tier: version 1 is in force");
+    session.daemon.until("tier: version 1 is active");
     session.ask("GET", "/admin/rules", "");
     session.ask("PUT", "/admin/rules/pin", "");
-    session.daemon.until("tier: version 2 is in force");
+    session.daemon.until("tier: version 2 is active");
     session.ask("GET", "/admin/rules", "");
     session.ask("GET", "/admin/stats", "");
     session.refused("PUT", "/admin/rules/undo");
--- a/tests/fleet_rules/operators.rs
+++ b/tests/fleet_rules/operators.rs
@@ -31,7 +31,7 @@
     expect_version(&tier, &[0, 1, 2], made);
     match tier.begin_change(1, &old, "") {
         Err(ChangeError::Rejected { status: 409, body: why }) => {
-            assert!(why.starts_with("it was made for version 0, and version 1 is in force"), "{why}");
+            assert!(why.starts_with("the document was made for version 0, but version 1 is active"), "{why}");
         }
         other => panic!("{other:?}"),
     }
@@ -78,7 +78,7 @@
     let cases = [
         (good.replace("rate  = 6.5", "rate  = 0.72"), 422, "\"faculdade\".rate: changes to a tenth"),
         (good.replace("rate  = 6.5", "rate  = 6.5\n  speed = 2"), 400, "speed"),
-        (good.replace("parent = 0", "parent = 7"), 409, "made for version 7, and version 0 is in force"),
+        (good.replace("parent = 0", "parent = 7"), 409, "made for version 7, but version 0 is active"),
         (good.clone() + "\naddresses {\n  counter = \"127.0.0.1:1\"\n}\n", 400, "addresses"),
         (good.clone() + "\nplan \"gold\" {\n  rate  = 1\n  burst = 5\n}\n", 400, "plan \"gold\""),
         (good.clone() + &"# and more\n".repeat(6_000), 413, "at most"),
