--- a/src/net/admin/stats.rs
+++ b/src/net/admin/stats.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns the counter for an answer with `status`.
-    fn count(&self, status: StatusCode) -> &AtomicU64 {
+    fn counter(&self, status: StatusCode) -> &AtomicU64 {
         if status.is_success() {
             &self.completed
         } else if status.is_client_error() {
@@ -85,7 +85,7 @@
     pub fn record_request_ended(&self, class: usize, status: Option<StatusCode>) {
         self.pending.fetch_sub(1, Relaxed);
         if let (Some(class), Some(status)) = (self.classes.get(class), status) {
-            class.count(status).fetch_add(1, Relaxed);
+            class.counter(status).fetch_add(1, Relaxed);
         }
     }
 
--- a/src/net/canary.rs
+++ b/src/net/canary.rs
@@ -90,8 +90,9 @@
     is_held: bool,
     /// Number of limiters in the latest sum.
     limiters: ReplicaId,
-    /// Number of seconds evaluated before and after the change.
+    /// Number of seconds evaluated before the change.
     seconds_before: usize,
+    /// Number of seconds evaluated after the change.
     seconds_after: usize,
 }
 
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -27,18 +27,25 @@
 
 /// Everything that the process is configured with at its start.
 pub struct Config {
+    /// The limiter's name.
     pub name: String,
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Address for operators, if any, and the file that stores the cordons.
+    /// Address for operators, if any.
     pub admin_listen: Option<SocketAddr>,
+    /// File that stores the cordons, if there is an address for operators.
     pub cordon_file: Option<PathBuf>,
     pub addresses: Addresses,
     pub peer_listen: Option<SocketAddr>,
+    /// Addresses of all limiters, in the order of their numbers.
     pub peers: Vec<SocketAddr>,
+    /// Address that reaches all limiters at once, if there is one.
     pub peer_broadcast: Option<SocketAddr>,
     pub seed: u64,
     pub max_downstream_connections: usize,
+    /// Maximum number of connections to backends.
     pub upstream_sockets: usize,
+    /// Endpoints that are known before discovery answers.
     pub initial_endpoints: EndpointsChange,
     pub settings: Settings,
     pub names: NameIndex,
@@ -112,7 +119,7 @@
 /// Looks up an environment variable. Returns its value if it is set and not empty.
 type Environment<'a> = &'a dyn Fn(&str) -> Option<String>;
 
-fn variable(name: &str) -> Option<String> {
+fn read_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
@@ -123,7 +130,7 @@
 /// # Errors
 /// Returns an error that names the file and key at fault, and what was expected there.
 pub fn read() -> Result<Config, ConfigError> {
-    let path = PathBuf::from(variable("LB_CONFIG").ok_or(ConfigError::NoFile)?);
+    let path = PathBuf::from(read_variable("LB_CONFIG").ok_or(ConfigError::NoFile)?);
     decode_file(&path).map_err(|source| ConfigError::FileOfEnvironment { path, source })
 }
 
@@ -145,24 +152,24 @@
 }
 
 fn decode_file(path: &Path) -> Result<Config, InvalidConfig> {
-    decode(&std::fs::read_to_string(path)?, &variable)
+    decode(&std::fs::read_to_string(path)?, &read_variable)
 }
 
 fn decode(text: &str, environment: Environment<'_>) -> Result<Config, InvalidConfig> {
     let mut json = serde_json::Deserializer::from_str(text);
     let file: File = serde_path_to_error::deserialize(&mut json)?;
-    let seed = seed(&file.seed)?;
-    let sockets = SocketShares::of(file.limits.sockets)?;
+    let seed = parse_seed(&file.seed)?;
+    let sockets = SocketShares::from_limit(file.limits.sockets)?;
     let (settings, names, limits) = file.settings.decode()?;
     if settings.counter_timeout.is_some() && file.counter.is_none() {
         return Err(InvalidConfig::NoCounter);
     }
-    let listen = address(environment, "LB_LISTEN", "listen", file.listen)?;
+    let listen = read_address(environment, "LB_LISTEN", "listen", file.listen)?;
     let admin_listen = match environment("LB_OPS") {
-        Some(_) => Some(address(environment, "LB_OPS", "ops", file.ops)?),
+        Some(_) => Some(read_address(environment, "LB_OPS", "ops", file.ops)?),
         None => file.ops,
     };
-    let discovery = address(environment, "LB_DISCOVERY", "discovery", file.discovery)?;
+    let discovery = read_address(environment, "LB_DISCOVERY", "discovery", file.discovery)?;
     let temporary = environment("TMPDIR").map_or_else(std::env::temp_dir, PathBuf::from);
     Ok(Config {
         name: environment("LB_NAME").or(file.name).unwrap_or_else(|| "sedgestack".into()),
@@ -184,7 +191,7 @@
 }
 
 /// Returns an address from the environment, or else from the file.
-fn address(
+fn read_address(
     environment: Environment<'_>,
     variable: &'static str,
     key: &'static str,
@@ -197,7 +204,7 @@
 }
 
 /// Parses a seed in hex. The default is the process id.
-fn seed(text: &str) -> Result<u64, InvalidConfig> {
+fn parse_seed(text: &str) -> Result<u64, InvalidConfig> {
     if text.is_empty() {
         return Ok(std::process::id().into());
     }
@@ -211,7 +218,7 @@
 }
 
 impl SocketShares {
-    fn of(sockets: usize) -> Result<SocketShares, InvalidConfig> {
+    fn from_limit(sockets: usize) -> Result<SocketShares, InvalidConfig> {
         if sockets < MIN_SOCKETS {
             return Err(InvalidConfig::TooFewSockets(sockets));
         }
@@ -222,6 +229,6 @@
 }
 
 /// Converts a time span of the settings to the runtime's type.
-pub fn duration(micros: sedgestack::Micros) -> Duration {
+pub fn to_duration(micros: sedgestack::Micros) -> Duration {
     Duration::from_micros(micros)
 }
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -48,8 +48,9 @@
 pub struct ConsensusActorParts {
     pub clock: Clock,
     pub settings: TierSettings,
-    /// Number of limiters in the tier, and the number of this one.
+    /// How many limiters the tier has.
     pub replicas: u32,
+    /// The number of this limiter.
     pub own: u32,
     pub configured: ConfiguredRules,
     pub store: StateStore,
@@ -76,8 +77,9 @@
     /// Documents that were checked and may be committed, by digest.
     pub(super) staged: BTreeMap<Digest, Document>,
     pub(super) history: History,
-    /// The active document, and the latest one before it that had other values.
+    /// The active document.
     pub(super) served_document: Document,
+    /// The latest document before the active one that had other values.
     pub(super) previous: Option<Document>,
     /// The version that was served last. The next change must be based on it to be watched.
     served_version: Slot,
@@ -357,7 +359,8 @@
         }
     }
 
-    /// Whether the control actor already knows these versions, and a lease at most half a heartbeat interval shorter.
+    /// Whether the control actor already knows these versions, with a lease that is shorter by less than half a heartbeat
+    /// interval.
     fn is_reported(&self, version: Slot, lease: &VersionLease) -> bool {
         let half_heartbeat = self.settings.heartbeat_interval / 2;
         self.last_report.as_ref().is_some_and(|last| {
--- a/src/net/consensus/configured_rules.rs
+++ b/src/net/consensus/configured_rules.rs
@@ -11,8 +11,9 @@
 use crate::net::config::Config;
 use crate::net::control::message::ConfigVersion;
 
-/// Minimum rate and burst that a document can express. Plans with smaller values can't be changed in service.
+/// Minimum rate that a document can express. Plans below it can't be changed in service.
 const MIN_RATE: f64 = 0.001;
+/// Minimum burst that a document can express. Plans below it can't be changed in service.
 const MIN_BURST: f64 = 1.0;
 
 /// The configured values: version 0, and bounds for all later versions.
--- a/src/net/consensus/status.rs
+++ b/src/net/consensus/status.rs
@@ -18,7 +18,7 @@
         );
         let known_for = lease.valid_until.saturating_sub(self.now());
         json!({
-            "member": self.own, "members": self.replicas, "standing": status_word(self.replica.status()),
+            "member": self.own, "members": self.replicas, "standing": status_name(self.replica.status()),
             "version": version, "digest": self.served_document.digest().to_string(), "decided": decided,
             "decided_void": value.activates_at().is_none() && decided > 0,
             "known_for_ms": known_for / 1_000,
@@ -33,7 +33,7 @@
     }
 }
 
-fn status_word(status: ReplicaStatus) -> &'static str {
+fn status_name(status: ReplicaStatus) -> &'static str {
     match status {
         ReplicaStatus::Current => "current",
         ReplicaStatus::Behind => "behind",
--- a/src/net/listener/accept.rs
+++ b/src/net/listener/accept.rs
@@ -24,7 +24,7 @@
 /// Backoff after a failed accept: file descriptors become free within this time, but not at once.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Accepts downstream connections until the process stops accepting, then waits until the last one has ended.
+/// Accepts downstream connections until a shutdown closes the listener, then waits until the last one has ended.
 ///
 /// At most `max_connections` are open at a time.
 ///
@@ -85,7 +85,7 @@
         let mut phase = self.phase.clone();
         loop {
             let accept = async {
-                self.connections.make_room().await;
+                self.connections.wait_for_capacity().await;
                 listener.accept().await
             };
             tokio::select! {
@@ -103,9 +103,9 @@
         }
     }
 
-    /// Starts to serve the connections that the kernel has accepted before the listener closes, and closes the
-    /// listener. It accepts from the socket itself because the runtime may not have noticed yet that connections are
-    /// waiting.
+    /// Starts to serve the connections that the kernel accepted before the listener closes, and closes the listener.
+    /// These count as accepted too. They are taken from the socket itself, because the runtime may not have noticed yet
+    /// that connections are waiting.
     fn accept_backlog(&self, listener: TcpListener, finished: mpsc::Sender<()>) -> io::Result<()> {
         let listener = listener.into_std()?;
         while let Ok((stream, _)) = listener.accept() {
--- a/src/net/listener/body.rs
+++ b/src/net/listener/body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body.
+//! Reads the body of a request.
 
 use axum::body::Body;
 use axum::http::{header, HeaderMap};
--- a/src/net/listener/client_watch.rs
+++ b/src/net/listener/client_watch.rs
@@ -6,7 +6,8 @@
 
 use crate::net::control::message::Message;
 
-/// Reports that a client disconnected. The handler of its request is dropped then, and this value with it.
+/// Reports when dropped that the client disconnected, unless the request was answered: when a client disconnects, the
+/// handler of its request is dropped, and this value with it.
 pub(super) struct ClientWatch {
     id: RequestId,
     control: mpsc::Sender<Message>,
--- a/src/net/listener/connection.rs
+++ b/src/net/listener/connection.rs
@@ -102,7 +102,7 @@
 /// Decides when a shutdown closes an idle connection.
 struct IdleClose {
     phase: watch::Receiver<Phase>,
-    /// The phase of the process from which the connection closes.
+    /// The phase of the process at which the connection closes.
     closing_phase: Phase,
     /// Time before which the connection does not close.
     earliest_close: Instant,
@@ -165,9 +165,9 @@
     }
 }
 
-/// Continues serving while part of a further request has arrived on the connection. Returns `None` once there is no
-/// partial request. Otherwise the server library would discard the bytes read so far and close the connection. The
-/// answer to the request closes the connection.
+/// Continues serving while part of a further request has arrived on the connection, whose answer closes the connection.
+/// Returns `None` once there is no partial request. Shutting the connection down earlier would make the server library
+/// discard the bytes of the request that it has read.
 async fn finish_partial_request<S>(
     mut connection: Pin<&mut http1::Connection<DownstreamIo, S>>,
     entry: &ConnectionEntry,
@@ -184,8 +184,8 @@
 }
 
 /// Reads and discards what a client still sends after an error response, so that the client can read the response:
-/// closing a socket with unread bytes resets it. The number of bytes and the time limit of the connection's stage
-/// bound this.
+/// closing a socket with unread bytes resets it. Skipping is bounded by a number of bytes, and by the time limit of the
+/// connection's stage.
 async fn skip_unread(downstream: &Downstream) {
     downstream.shutdown_write();
     let mut skipped = 0;
--- a/src/net/listener/connection_table.rs
+++ b/src/net/listener/connection_table.rs
@@ -1,7 +1,7 @@
 //! The stage of each open downstream connection, without its I/O. Decides which connection is closed when its time is
 //! up or capacity runs short.
 //!
-//! A connection whose request is in flight is never closed.
+//! The table never closes a connection whose request is in flight.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -75,16 +75,18 @@
     }
 }
 
-/// The stages that are limited in time. `UNFINISHED` and `IDLE` are indices into this array.
+/// The stages that are limited in time.
 const TIMED_STAGES: [Stage; 3] = [Stage::Unfinished, Stage::Idle, Stage::Answering];
+/// Index of `Stage::Unfinished` in `TIMED_STAGES`.
 const UNFINISHED: usize = 0;
+/// Index of `Stage::Idle` in `TIMED_STAGES`.
 const IDLE: usize = 1;
 
 /// Whether one more connection may be accepted.
 #[derive(Debug, PartialEq)]
 pub(super) enum Capacity {
     Available,
-    /// One may be accepted once this connection is closed.
+    /// A connection may be accepted once the one with this id is closed.
     AfterClosing(u64),
     /// No connection may be closed before this time; capacity becomes free earlier only if a connection ends by
     /// itself.
--- a/src/net/listener/connections.rs
+++ b/src/net/listener/connections.rs
@@ -29,7 +29,7 @@
     /// Waits until one more connection may be accepted, closing the oldest connections if necessary. This keeps
     /// normal clients served when others open hundreds of connections without sending, or never close connections
     /// they used once.
-    pub(super) async fn make_room(&self) {
+    pub(super) async fn wait_for_capacity(&self) {
         let mut candidate = None;
         loop {
             let ended = self.ended.notified();
--- a/src/net/listener/handler.rs
+++ b/src/net/listener/handler.rs
@@ -124,7 +124,7 @@
     let (id, deadline) = (accepted.request.id, accepted.deadline);
     if listener.control.try_send(Message::Accepted(accepted)).is_err() {
         COUNTERS.turned_away_full.increment();
-        return rejection(0);
+        return rejection_response(0);
     }
     let handed_over = HandedOverRequest {
         id,
@@ -235,7 +235,7 @@
 fn reply_response(reply: Reply, version: Option<u64>) -> Response {
     let mut response = match reply {
         Reply::Served(body) => Response::new(Body::from(body)),
-        Reply::Rejected { retry_after } => rejection(retry_after),
+        Reply::Rejected { retry_after } => rejection_response(retry_after),
         Reply::Failed => StatusCode::BAD_GATEWAY.into_response(),
     };
     if let Some(version) = version {
@@ -245,7 +245,7 @@
 }
 
 /// Returns a 429 response, with `Retry-After` in seconds unless `retry_after` is 0.
-fn rejection(retry_after: Micros) -> Response {
+fn rejection_response(retry_after: Micros) -> Response {
     let mut response = StatusCode::TOO_MANY_REQUESTS.into_response();
     if retry_after > 0 {
         let seconds = format!("{:.3}", retry_after.max(MIN_RETRY_AFTER) as f64 / 1e6);
--- a/src/net/listener/request_head.rs
+++ b/src/net/listener/request_head.rs
@@ -49,7 +49,7 @@
     /// Parses a request's path and headers. Returns an error for the first unexpected value.
     pub(super) fn parse(listener: &Listener, parts: &Parts) -> Result<RequestHead, RequestError> {
         let headers = &parts.headers;
-        let path = path_names(parts.uri.path())?;
+        let path = parse_path(parts.uri.path())?;
         let class = listener.names.class(path.class).ok_or(RequestError::UnknownPath)?;
         expect(
             !headers.contains_key(header::TRANSFER_ENCODING),
@@ -90,7 +90,7 @@
 }
 
 /// Parses a path of the form `/CLASS/CUSTOMER`.
-fn path_names(path: &str) -> Result<PathNames<'_>, RequestError> {
+fn parse_path(path: &str) -> Result<PathNames<'_>, RequestError> {
     let mut names = path.strip_prefix('/').unwrap_or_default().split('/');
     match (names.next(), names.next(), names.next()) {
         (Some(class), Some(customer), None) => Ok(PathNames { class, customer }),
--- a/src/net/runtime/log.rs
+++ b/src/net/runtime/log.rs
@@ -15,6 +15,7 @@
 
 /// The version of the runtime configuration that JSON lines name.
 static ACTIVE_VERSION: AtomicU64 = AtomicU64::new(NO_VERSION);
+/// Value of `ACTIVE_VERSION` while limiters do not agree on versions.
 const NO_VERSION: u64 = u64::MAX;
 
 /// Sets the version of the runtime configuration that JSON lines name.
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -65,7 +65,7 @@
     Listen { address: SocketAddr, source: io::Error },
     #[error("the control actor ended: {0:?}")]
     ControlActor(Result<(), JoinError>),
-    #[error("the capture thread panicked")]
+    #[error("the capture thread ended with a panic")]
     CaptureThread,
 }
 
@@ -85,7 +85,7 @@
     let (messages, mailbox) = mpsc::channel(MESSAGE_MAILBOX);
     let admin_listener = bind_admin(&config).await?;
     let stats = Arc::new(AdminStats::new(config.settings.classes.iter().map(|class| class.name.as_str())));
-    let upstream = Arc::new(upstream(&config, &messages, &stats));
+    let upstream = Arc::new(upstream_shared(&config, &messages, &stats));
     let (address_updates, addresses) = watch::channel(config.addresses);
     let counter = start_quota_counter(&config, &addresses, &messages);
     let tier = tier.map(|settings| with_configured_rules(settings, &config)).transpose()?;
@@ -101,7 +101,7 @@
         max_open_requests: config.limits.max_open,
         max_attempts: config.settings.max_attempts,
         counter,
-        counter_timeout: config::duration(config.settings.counter_timeout.unwrap_or(0)),
+        counter_timeout: config::to_duration(config.settings.counter_timeout.unwrap_or(0)),
         peers: peers.clone(),
         capture,
         ready: ready.clone(),
@@ -132,7 +132,7 @@
     if let Some(listener) = admin_listener {
         start_admin(listener, &config, stats.clone(), phase.clone(), control, operator_calls);
     }
-    let longest_deadline = config::duration(config.limits.longest_deadline);
+    let longest_deadline = config::to_duration(config.limits.longest_deadline);
     let shutdown_deadline = ShutdownDeadline::default();
     let shutdown = (stopping, shutdown_deadline.clone());
     let listener =
@@ -172,7 +172,7 @@
 /// Waits until the process that this one replaces has released its addresses, if the settings set a wait.
 async fn wait_for_predecessor(config: &Config, tier: Option<&TierSettings>) {
     if let Some(tier) = tier.filter(|tier| tier.handover_wait > 0) {
-        let deadline = Instant::now() + config::duration(tier.handover_wait);
+        let deadline = Instant::now() + config::to_duration(tier.handover_wait);
         handover::wait_for_predecessor(config.admin_listen, config.peer_listen, deadline).await;
     }
 }
@@ -182,11 +182,15 @@
     Ok(Some(admin::bind(address).await?))
 }
 
-fn upstream(config: &Config, messages: &mpsc::Sender<Message>, stats: &Arc<AdminStats>) -> UpstreamShared {
+fn upstream_shared(
+    config: &Config,
+    messages: &mpsc::Sender<Message>,
+    stats: &Arc<AdminStats>,
+) -> UpstreamShared {
     UpstreamShared {
         names: config.names.clone(),
-        connect_timeout: config::duration(config.limits.connect_timeout),
-        keepalive: config::duration(config.limits.keepalive),
+        connect_timeout: config::to_duration(config.limits.connect_timeout),
+        keepalive: config::to_duration(config.limits.keepalive),
         sockets: Arc::new(Semaphore::new(config.upstream_sockets)),
         module: messages.clone(),
         figures: stats.clone(),
@@ -200,7 +204,7 @@
     messages: &mpsc::Sender<Message>,
 ) -> Option<mpsc::Sender<CounterCall>> {
     config.settings.counter_timeout?;
-    let connect_timeout = config::duration(config.limits.connect_timeout);
+    let connect_timeout = config::to_duration(config.limits.connect_timeout);
     let (calls, mailbox) = mpsc::channel(SMALL_MAILBOX);
     let actor = QuotaCounter::new(addresses.clone(), connect_timeout, mailbox, messages.clone());
     tokio::spawn(actor.run());
