--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -128,7 +128,7 @@
             StepEnd::DeadlinePassed => {
                 // If the response has started, the attempt was counted when the response head was read.
                 if progress.state() == ExchangeState::FullyWritten {
-                    self.shared.stats.attempt_written();
+                    self.shared.stats.record_attempt_written();
                 }
                 NextStep::EndWith(progress.outcome_at_deadline())
             }
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -29,7 +29,7 @@
     let progress = connection.progress();
     // Counts the attempt if its request was fully written by the time the response head was read or the exchange broke.
     if progress.is_fully_written() {
-        shared.stats.attempt_written();
+        shared.stats.record_attempt_written();
     }
     let Ok(response) = response else {
         return progress.outcome_of_broken_exchange();
