--- a/crates/kit/src/bounds.rs
+++ b/crates/kit/src/bounds.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use sedgestack_fleet::{Fleet, Plan};
-use sedgestack_quota_lease::{Bound, Micros, TargetError, Terms};
+use sedgestack_quota_lease::{Bound, LeaseTerms, Micros, TargetError};
 use sedgestack_report::text::{table, Table};
 
 use crate::error::KitError;
@@ -91,31 +91,31 @@
     let checked = terms.check(fleet.counter.timeout);
     checked.map_err(|source| KitError::Terms { plan: plan.name.clone(), source })?;
     let within_target = match arguments.at_most {
-        Some(target) => terms.within(LONG_SPAN, target / 100.0),
+        Some(target) => terms.with_largest_local_shares(LONG_SPAN, target / 100.0),
         None => Ok(terms),
     };
     Ok(within_target.map(|terms| Row {
         plan: plan.name.clone(),
-        window_ms: terms.window() / 1_000,
-        share_percent: terms.share_part * 100.0,
+        window_ms: terms.window_length() / 1_000,
+        share_percent: terms.local_share_fraction * 100.0,
         staleness_ms: terms.staleness() / 1_000,
         ten_seconds: terms.bound(SHORT_SPAN),
         minute: terms.bound(LONG_SPAN),
     }))
 }
 
-fn terms(arguments: &Arguments, plan: &Plan) -> Terms {
-    Terms {
+fn terms(arguments: &Arguments, plan: &Plan) -> LeaseTerms {
+    LeaseTerms {
         rate: plan.rate,
         burst: plan.burst,
         // The more limiters, the smaller each share: together they come to the same.
-        spread: plan.spread.1,
-        counter_part: arguments.counter / 100.0,
-        lent_part: arguments.lent / 100.0,
+        limiters: plan.spread.1,
+        counter_fraction: arguments.counter / 100.0,
+        lent_fraction: arguments.lent / 100.0,
         lenders: 1,
-        share_part: arguments.share / 100.0,
-        skew: arguments.skew_ms * 1_000,
-        under_way: arguments.under_way_ms * 1_000,
+        local_share_fraction: arguments.share / 100.0,
+        max_clock_skew: arguments.skew_ms * 1_000,
+        max_send_delay: arguments.under_way_ms * 1_000,
         counters: arguments.counters,
     }
 }
@@ -144,7 +144,7 @@
         "of quota",
     ];
     let bound = |bound: &Bound| {
-        [format!("{:.0} of {:.0}", bound.most, bound.quota), format!("{:.0}%", bound.part() * 100.0)]
+        [format!("{:.0} of {:.0}", bound.most, bound.quota), format!("{:.0}%", bound.ratio() * 100.0)]
     };
     let cells = |row: &Row| {
         let first = [
--- a/crates/kit/src/bounds/tests.rs
+++ b/crates/kit/src/bounds/tests.rs
@@ -22,7 +22,7 @@
 fn the_largest_shares_within_a_target_reach_it_exactly() {
     for row in rows("--at-most 110") {
         let row = row.expect("good input").expect("shares of some percent keep it");
-        assert!((row.minute.part() - 1.1).abs() < 1e-6 && row.share_percent > 1.0, "{}", row.plan);
+        assert!((row.minute.ratio() - 1.1).abs() < 1e-6 && row.share_percent > 1.0, "{}", row.plan);
     }
 }
 
@@ -36,6 +36,6 @@
     let error = rows("--share 300").remove(0).err().expect("no part is over 1");
     assert_eq!(
         error.to_string(),
-        "plan basico: counter_part, lent_part and share_part: expected 0 to 1 each, and one of them over 0"
+        "plan basico: counter_fraction, lent_fraction and local_share_fraction: expected 0 to 1 each, and one of them over 0"
     );
 }
--- a/crates/kit/src/error.rs
+++ b/crates/kit/src/error.rs
@@ -10,7 +10,7 @@
 use sedgestack_capture::ReadError;
 use sedgestack_fleet::ConfigError;
 use sedgestack_plan::CaptureError;
-use sedgestack_quota_lease::TermsError;
+use sedgestack_quota_lease::LeaseTermsError;
 use sedgestack_rehearse::{scenarios, Failure};
 
 /// Why a command could not do its work: bad input, or something it needs that is missing or does not answer.
@@ -48,7 +48,7 @@
         /// The plan's name.
         plan: String,
         /// What is wrong with the figures.
-        source: TermsError,
+        source: LeaseTermsError,
     },
     /// An answer can't be written as JSON.
     #[error("the answer as JSON: {0}")]
--- a/crates/quota-lease/examples/cost.rs
+++ b/crates/quota-lease/examples/cost.rs
@@ -10,7 +10,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use sedgestack_quota_lease::{Lease, LeaseRequest, Lender, Micros, Source, Terms};
+use sedgestack_quota_lease::{Lease, LeaseRequest, LeaseTerms, Lender, Micros, Source};
 
 const SECOND: Micros = 1_000_000;
 const RUN_LENGTH: Micros = 600 * SECOND;
@@ -99,7 +99,7 @@
 }
 
 struct Simulation<'a> {
-    terms: Terms,
+    terms: LeaseTerms,
     links: Links,
     rng: Xoshiro256PlusPlus,
     leases: Vec<Lease>,
@@ -111,14 +111,14 @@
 }
 
 impl Simulation<'_> {
-    fn new(terms: Terms, links: Links, seed: u64, totals: &mut Totals) -> Simulation<'_> {
+    fn new(terms: LeaseTerms, links: Links, seed: u64, totals: &mut Totals) -> Simulation<'_> {
         let quota =
             TokenBucket { rate: terms.rate, capacity: terms.burst, level: terms.burst, updated_at: 0 };
         Simulation {
             terms,
             links,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            leases: vec![Lease::new(terms, 0); terms.spread as usize],
+            leases: vec![Lease::new(terms, 0); terms.limiters as usize],
             counter: Counter::default(),
             lender: Lender::default(),
             quota,
@@ -215,29 +215,29 @@
     }
 }
 
-fn terms(limiters: u32, lent_part: f64, share_part: f64) -> Terms {
-    Terms {
+fn terms(limiter_count: u32, lent_fraction: f64, local_share_fraction: f64) -> LeaseTerms {
+    LeaseTerms {
         rate: 7.2,
         burst: 31.0,
-        spread: limiters,
-        counter_part: 1.0,
-        lent_part,
-        share_part,
+        limiters: limiter_count,
+        counter_fraction: 1.0,
+        lent_fraction,
+        local_share_fraction,
         lenders: 1,
-        skew: 0,
-        under_way: 0,
+        max_clock_skew: 0,
+        max_send_delay: 0,
         counters: 1,
     }
 }
 
-fn print_row(terms: &Terms, links: &str, totals: &Totals) {
+fn print_row(terms: &LeaseTerms, links: &str, totals: &Totals) {
     let per_request = |count: u64| count as f64 / totals.requests as f64;
     println!(
         "{:8} {:5.0}% {:5.0}% {:9.0}% {links:>8} {:7.3} {:6.2} {:6.2} {:12.2}",
-        terms.spread,
-        terms.share_part * 100.0,
-        terms.lent_part * 100.0,
-        terms.bound(BOUND_SPAN).part() * 100.0,
+        terms.limiters,
+        terms.local_share_fraction * 100.0,
+        terms.lent_fraction * 100.0,
+        terms.bound(BOUND_SPAN).ratio() * 100.0,
         totals.units_served / totals.units_within_quota,
         per_request(totals.counter_calls),
         per_request(totals.lender_requests),
@@ -249,8 +249,10 @@
     let seeds = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_SEEDS);
     println!("limiters shares   lent  bound_10s  counter  served  calls  asked  worst/bound");
     for limiters in [3, 30, 300] {
-        for (lent_part, share_part) in [(0.0, 0.0), (0.0, 0.3), (0.0, 1.0), (0.3, 0.0), (1.0, 0.0)] {
-            let terms = terms(limiters, lent_part, share_part);
+        for (lent_fraction, local_share_fraction) in
+            [(0.0, 0.0), (0.0, 0.3), (0.0, 1.0), (0.3, 0.0), (1.0, 0.0)]
+        {
+            let terms = terms(limiters, lent_fraction, local_share_fraction);
             for (name, links) in [("whole", Links::Whole), ("gone", Links::Gone), ("half", Links::Half)] {
                 let mut totals = Totals::default();
                 (0..seeds).for_each(|seed| Simulation::new(terms, links, seed, &mut totals).run());
--- a/crates/quota-lease/src/bound/tests.rs
+++ b/crates/quota-lease/src/bound/tests.rs
@@ -2,7 +2,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn terms() -> Terms {
+fn terms() -> LeaseTerms {
     crate::sample()
 }
 
@@ -10,18 +10,18 @@
 fn a_stretch_of_whole_windows_is_bounded_by_the_quota() {
     for windows in 0..20 {
         let bound = terms().bound(windows * 4 * SECOND);
-        assert_eq!((bound.over(), bound.part()), (0.0, 1.0), "{windows} windows");
+        assert_eq!((bound.excess(), bound.ratio()), (0.0, 1.0), "{windows} windows");
     }
-    assert_eq!(terms().bound(10 * SECOND).over(), 20.0);
+    assert_eq!(terms().bound(10 * SECOND).excess(), 20.0);
 }
 
 #[test]
 fn the_terms_sum_up_to_the_difference_between_bound_and_quota() {
-    let all = Terms {
-        share_part: 0.3,
-        lent_part: 0.2,
-        skew: SECOND,
-        under_way: 3 * SECOND,
+    let all = LeaseTerms {
+        local_share_fraction: 0.3,
+        lent_fraction: 0.2,
+        max_clock_skew: SECOND,
+        max_send_delay: 3 * SECOND,
         counters: 2,
         ..terms()
     };
@@ -35,13 +35,17 @@
 #[test]
 fn a_target_gives_the_largest_local_shares_or_the_term_that_exceeds_it() {
     let minute = 60 * SECOND;
-    let terms_within = terms().within(minute, 1.1).expect("a minute is fifteen windows");
+    let terms_within = terms().with_largest_local_shares(minute, 1.1).expect("a minute is fifteen windows");
     assert!(
-        (terms_within.bound(minute).part() - 1.1).abs() < 1e-9 && terms_within.share_part > 0.09,
+        (terms_within.bound(minute).ratio() - 1.1).abs() < 1e-9 && terms_within.local_share_fraction > 0.09,
         "{terms_within:?}"
     );
-    let alone = Terms { counter_part: 0.0, ..terms() }.within(minute, 0.5).expect("shares alone");
-    assert!((alone.bound(minute).part() - 0.5).abs() < 1e-9, "{alone:?}");
-    let two = Terms { counters: 2, ..terms() }.within(minute, 1.1).expect_err("twice the quota");
-    assert_eq!((two.term, two.part), ("counters that lost their totals", 2.0));
+    let alone = LeaseTerms { counter_fraction: 0.0, ..terms() }
+        .with_largest_local_shares(minute, 0.5)
+        .expect("shares alone");
+    assert!((alone.bound(minute).ratio() - 0.5).abs() < 1e-9, "{alone:?}");
+    let two = LeaseTerms { counters: 2, ..terms() }
+        .with_largest_local_shares(minute, 1.1)
+        .expect_err("twice the quota");
+    assert_eq!((two.term, two.ratio), ("counters that lost their totals", 2.0));
 }
--- a/crates/quota-lease/src/lease.rs
+++ b/crates/quota-lease/src/lease.rs
@@ -1,6 +1,6 @@
 //! One limiter's lease of one customer's quota.
 
-use crate::{Micros, Terms};
+use crate::{LeaseTerms, Micros};
 
 /// Smallest amount that counts: sums of units are exact to far less.
 const UNITS_TOLERANCE: f64 = 1e-9;
@@ -37,7 +37,7 @@
 /// What a limiter may send for a customer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lease {
-    terms: Terms,
+    terms: LeaseTerms,
     window: u64,
     /// Unspent units that were granted in this window.
     granted: f64,
@@ -54,7 +54,7 @@
 impl Lease {
     /// The lease of a limiter that starts at `now`. An earlier incarnation may have spent the local share of this
     /// window, so there is none until the next.
-    pub fn new(terms: Terms, now: Micros) -> Lease {
+    pub fn new(terms: LeaseTerms, now: Micros) -> Lease {
         Lease {
             terms,
             window: now / terms.window_divisor(),
@@ -156,7 +156,10 @@
     /// What could be sent now.
     pub fn available(&mut self, now: Micros) -> Available {
         self.enter_window(now);
-        Available { units: self.granted + self.share, expires_at: (self.window + 1) * self.terms.window() }
+        Available {
+            units: self.granted + self.share,
+            expires_at: (self.window + 1) * self.terms.window_length(),
+        }
     }
 }
 
--- a/crates/quota-lease/src/lease/tests.rs
+++ b/crates/quota-lease/src/lease/tests.rs
@@ -3,8 +3,8 @@
 const SECOND: Micros = 1_000_000;
 
 /// Windows of 4 s, 40 units each, and a tenth as much in local shares over four limiters.
-fn terms() -> Terms {
-    Terms { share_part: 0.1, ..crate::sample() }
+fn terms() -> LeaseTerms {
+    LeaseTerms { local_share_fraction: 0.1, ..crate::sample() }
 }
 
 fn lease(now: Micros) -> Lease {
@@ -70,7 +70,7 @@
 
 #[test]
 fn responsible_limiters_are_asked_in_order_where_the_counter_does_not_reply() {
-    let terms = Terms { lent_part: 0.5, lenders: 2, ..terms() };
+    let terms = LeaseTerms { lent_fraction: 0.5, lenders: 2, ..terms() };
     let mut lease = Lease::new(terms, 0);
     let mut sources = Vec::new();
     while let Some(request) = lease.next_request(SECOND, 2.0) {
--- a/crates/quota-lease/src/lender.rs
+++ b/crates/quota-lease/src/lender.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{LeaseRequest, Micros, Terms};
+use crate::{LeaseRequest, LeaseTerms, Micros};
 
 /// Totals are integers, so that they can be hashed and compared: units times this.
 const STEPS_PER_UNIT: f64 = 1e3;
@@ -33,7 +33,13 @@
 
     /// Adds the requested amount, rounded up to thousandths, and returns the total, as the counter does. `None` where it
     /// grants nothing: for any window but the current one, and for the one in which the lender started.
-    pub fn lend(&mut self, now: Micros, terms: &Terms, customer: u64, request: LeaseRequest) -> Option<f64> {
+    pub fn lend(
+        &mut self,
+        now: Micros,
+        terms: &LeaseTerms,
+        customer: u64,
+        request: LeaseRequest,
+    ) -> Option<f64> {
         // Guards against clocks that are set back: totals of earlier windows are gone.
         self.latest = self.latest.max(now);
         let window_length = terms.window_divisor();
--- a/crates/quota-lease/src/lender/tests.rs
+++ b/crates/quota-lease/src/lender/tests.rs
@@ -3,8 +3,8 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn terms() -> Terms {
-    Terms { lent_part: 1.0, lenders: 1, ..crate::sample() }
+fn terms() -> LeaseTerms {
+    LeaseTerms { lent_fraction: 1.0, lenders: 1, ..crate::sample() }
 }
 
 fn request(window: u64, amount: f64) -> LeaseRequest {
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -9,7 +9,8 @@
 //! moment of sending, expires. That holds for a limiter that was suspended; one that was restarted has no local share
 //! and grants nothing until the next window begins.
 //!
-//! [`Terms::bound`] states what that comes to over any stretch of time, term by term; [`Lease`] is one limiter's part.
+//! [`LeaseTerms::bound`] states what that comes to over any stretch of time, term by term.
+//! [`Lease`] is one limiter's part.
 #![forbid(unsafe_code)]
 
 mod bound;
@@ -28,42 +29,42 @@
 
 /// The configuration of leases for the customers of one plan, the same at all limiters.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// Units a second that a customer may be sent, over all limiters.
     pub rate: f64,
     /// Units at once that a customer may be sent, over all limiters.
     pub burst: f64,
     /// Limiters that the customer's requests come through.
-    pub spread: u32,
+    pub limiters: u32,
     /// Part of the allowance that the counter grants.
-    pub counter_part: f64,
+    pub counter_fraction: f64,
     /// Part of the allowance that the responsible limiters grant together, each the same amount.
-    pub lent_part: f64,
+    pub lent_fraction: f64,
     /// Part of the allowance that all local shares come to together.
-    pub share_part: f64,
+    pub local_share_fraction: f64,
     /// Limiters that are responsible for a customer.
     pub lenders: u32,
     /// Upper bound for the difference between a limiter's clock and true time.
-    pub skew: Micros,
+    pub max_clock_skew: Micros,
     /// Upper bound for the time from the check of a request's lease to its last byte at a backend.
-    pub under_way: Micros,
+    pub max_send_delay: Micros,
     /// Counters that may grant the same window's allowance: 1 where a counter that lost its totals, or a second one,
     /// can't start within a window; 2 where one can.
     pub counters: u32,
 }
 
-/// Terms out of range.
+/// Lease terms out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum TermsError {
+pub enum LeaseTermsError {
     /// The rate or the burst is not a positive, finite number.
     #[error("rate and burst: expected finite figures over 0")]
     Quota,
     /// There is no limiter that requests could come through.
     #[error("spread: expected 1 limiter at least")]
-    Spread,
+    Limiters,
     /// A part of the allowance is not a share, or nothing of it is granted by anyone.
-    #[error("counter_part, lent_part and share_part: expected 0 to 1 each, and one of them over 0")]
-    Parts,
+    #[error("counter_fraction, lent_fraction and local_share_fraction: expected 0 to 1 each, and one of them over 0")]
+    Fractions,
     /// The number of counters or that of responsible limiters is 0.
     #[error("counters and lenders: expected 1 at least")]
     Counters,
@@ -77,72 +78,72 @@
     },
 }
 
-impl Terms {
+impl LeaseTerms {
     /// Validates the terms; `call` is the longest time that a call to the counter may take.
     ///
     /// # Errors
     /// Names the first value that is out of range.
-    pub fn check(&self, call: Micros) -> Result<(), TermsError> {
+    pub fn check(&self, call: Micros) -> Result<(), LeaseTermsError> {
         let is_positive = |value: f64| value.is_finite() && value > 0.0;
         if !is_positive(self.rate) || !is_positive(self.burst) {
-            return Err(TermsError::Quota);
+            return Err(LeaseTermsError::Quota);
         }
-        if self.spread == 0 {
-            return Err(TermsError::Spread);
+        if self.limiters == 0 {
+            return Err(LeaseTermsError::Limiters);
         }
-        let parts = [self.counter_part, self.lent_part, self.share_part];
-        let are_parts = parts.iter().all(|part| (0.0..=1.0).contains(part));
-        if !are_parts || parts.iter().sum::<f64>() <= 0.0 {
-            return Err(TermsError::Parts);
+        let fractions = [self.counter_fraction, self.lent_fraction, self.local_share_fraction];
+        let are_fractions = fractions.iter().all(|fraction| (0.0..=1.0).contains(fraction));
+        if !are_fractions || fractions.iter().sum::<f64>() <= 0.0 {
+            return Err(LeaseTermsError::Fractions);
         }
         if self.counters == 0 || self.lenders == 0 {
-            return Err(TermsError::Counters);
+            return Err(LeaseTermsError::Counters);
         }
-        if self.window() <= call {
-            let window_ms = self.window() / MICROS_PER_MILLISECOND;
+        if self.window_length() <= call {
+            let window_ms = self.window_length() / MICROS_PER_MILLISECOND;
             let call_ms = call / MICROS_PER_MILLISECOND;
-            return Err(TermsError::Window { window_ms, call_ms });
+            return Err(LeaseTermsError::Window { window_ms, call_ms });
         }
         Ok(())
     }
 
     /// Length of a window: the time that a burst takes to refill.
-    pub fn window(&self) -> Micros {
+    pub fn window_length(&self) -> Micros {
         (self.burst / self.rate * MICROS_PER_SECOND) as Micros
     }
 
     /// Length of a window as a divisor, also where the terms are out of range.
     fn window_divisor(&self) -> Micros {
-        self.window().max(1)
+        self.window_length().max(1)
     }
 
     /// Units of a window that one source grants.
     fn grantable_by(&self, source: Source) -> f64 {
         match source {
-            Source::Counter => self.burst * self.counter_part,
-            Source::Limiter(_) => self.burst * self.lent_part / f64::from(self.lenders),
+            Source::Counter => self.burst * self.counter_fraction,
+            Source::Limiter(_) => self.burst * self.lent_fraction / f64::from(self.lenders),
         }
     }
 
     /// Units of a window that one limiter may send without a grant.
     fn local_share(&self) -> f64 {
-        self.burst * self.share_part / f64::from(self.spread)
+        self.burst * self.local_share_fraction / f64::from(self.limiters)
     }
 }
 
 /// Windows of 4 s with 40 units each, all granted by the counter.
 #[cfg(test)]
-fn sample() -> Terms {
-    Terms {
+fn sample() -> LeaseTerms {
+    LeaseTerms {
         rate: 10.0,
         burst: 40.0,
-        spread: 4,
-        counter_part: 1.0,
-        lent_part: 0.0,
-        share_part: 0.0,
+        limiters: 4,
+        counter_fraction: 1.0,
+        lent_fraction: 0.0,
+        local_share_fraction: 0.0,
         lenders: 1,
-        skew: 0,
-        under_way: 0,
+        max_clock_skew: 0,
+        max_send_delay: 0,
         counters: 1,
     }
 }
--- a/crates/quota-lease/tests/checked.rs
+++ b/crates/quota-lease/tests/checked.rs
@@ -5,22 +5,22 @@
 
 use std::hash::{Hash, Hasher};
 
-use sedgestack_quota_lease::{Lease, LeaseRequest, Micros, Terms};
+use sedgestack_quota_lease::{Lease, LeaseRequest, LeaseTerms, Micros};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const SECOND: Micros = 1_000_000;
 const WINDOWS: usize = 2;
 
-const TERMS: Terms = Terms {
+const TERMS: LeaseTerms = LeaseTerms {
     rate: 1.0,
     burst: 2.0,
-    spread: 2,
-    counter_part: 1.0,
-    lent_part: 0.0,
-    share_part: 1.0,
+    limiters: 2,
+    counter_fraction: 1.0,
+    lent_fraction: 0.0,
+    local_share_fraction: 1.0,
     lenders: 1,
-    skew: 0,
-    under_way: 0,
+    max_clock_skew: 0,
+    max_send_delay: 0,
     counters: 1,
 };
 
@@ -117,7 +117,7 @@
     fn next_state(&self, before: &State, step: Step) -> Option<State> {
         let mut state = before.clone();
         let now = state.second * SECOND;
-        let window = |at: Micros| (at / TERMS.window()) as usize;
+        let window = |at: Micros| (at / TERMS.window_length()) as usize;
         match step {
             Step::Second => state.second += 1,
             Step::Request(limiter) => {
@@ -168,7 +168,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no window exceeds its allowance", |_, state: &State| {
-                let most = TERMS.burst * (TERMS.counter_part + TERMS.share_part);
+                let most = TERMS.burst * (TERMS.counter_fraction + TERMS.local_share_fraction);
                 state.sent.iter().all(|sent| f64::from(*sent) <= most)
             }),
             Property::sometimes("a window's allowance is used up", |_, state: &State| state.sent[1] == 4),
--- a/crates/quota-lease/tests/tiers.rs
+++ b/crates/quota-lease/tests/tiers.rs
@@ -5,7 +5,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use sedgestack_quota_lease::{responsible_limiters, Lease, LeaseRequest, Lender, Micros, Source, Terms};
+use sedgestack_quota_lease::{responsible_limiters, Lease, LeaseRequest, LeaseTerms, Lender, Micros, Source};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
@@ -53,7 +53,7 @@
 }
 
 struct Tier {
-    terms: Terms,
+    terms: LeaseTerms,
     limiters: Vec<Limiter>,
     /// Totals by window, of each counter.
     counters: Vec<BTreeMap<u64, f64>>,
@@ -84,22 +84,22 @@
 struct Setup {
     limiters: u32,
     counters: u32,
-    lent_part: f64,
+    lent_fraction: f64,
     mutant: Mutant,
 }
 
 impl Setup {
-    fn terms(&self) -> Terms {
-        Terms {
+    fn terms(&self) -> LeaseTerms {
+        LeaseTerms {
             rate: 20.0,
             burst: 80.0,
-            spread: self.limiters,
-            counter_part: 1.0 - self.lent_part,
-            lent_part: self.lent_part,
-            share_part: 0.25,
+            limiters: self.limiters,
+            counter_fraction: 1.0 - self.lent_fraction,
+            lent_fraction: self.lent_fraction,
+            local_share_fraction: 0.25,
             lenders: LENDERS,
-            skew: SKEW_MS as Micros * MS,
-            under_way: 30 * MS,
+            max_clock_skew: SKEW_MS as Micros * MS,
+            max_send_delay: 30 * MS,
             counters: self.counters,
         }
     }
@@ -157,7 +157,7 @@
         for Reply { limiter, mut request, total, .. } in due {
             let clock = self.tier.clock(limiter, now);
             if self.tier.mutant == Mutant::ExpiresFromReply {
-                request.window = clock / self.tier.terms.window();
+                request.window = clock / self.tier.terms.window_length();
             }
             self.tier.limiters[limiter].lease.on_grant(clock, request, total);
         }
@@ -285,11 +285,11 @@
     /// Whether more was sent within a window, by true time, than its allowance. Near the ends of a window clocks may
     /// differ about which window it is, so that only what was sent further in is counted.
     fn exceeds_allowance(&self) -> bool {
-        let window = self.terms.window();
-        let skew = self.terms.skew;
-        let parts = f64::from(self.terms.counters) * self.terms.counter_part
-            + self.terms.lent_part
-            + self.terms.share_part;
+        let window = self.terms.window_length();
+        let skew = self.terms.max_clock_skew;
+        let parts = f64::from(self.terms.counters) * self.terms.counter_fraction
+            + self.terms.lent_fraction
+            + self.terms.local_share_fraction;
         let mut sums = BTreeMap::<u64, f64>::new();
         for Sent { at, units } in &self.sent {
             if (skew..window - skew).contains(&(at % window)) {
@@ -309,13 +309,13 @@
 fn no_stretch_of_any_run_exceeds_the_bound() {
     let mut largest = 0.0f64;
     for seed in 0..150 {
-        for (limiters, counters, lent_part) in
+        for (limiters, counters, lent_fraction) in
             [(1, 1, 0.4), (3, 1, 0.4), (3, 1, 0.0), (3, 2, 0.4), (30, 1, 0.4), (30, 1, 0.9)]
         {
-            let tier = Setup { limiters, counters, lent_part, mutant: Mutant::None }.run(seed);
+            let tier = Setup { limiters, counters, lent_fraction, mutant: Mutant::None }.run(seed);
             assert!(
                 !tier.breaks_bound(),
-                "seed {seed}, {limiters} limiters, {counters} counters, {lent_part} lent"
+                "seed {seed}, {limiters} limiters, {counters} counters, {lent_fraction} lent"
             );
             assert!(tier.rejected > 1_000, "seed {seed}: the load exceeds the quota");
             largest = largest.max(tier.largest_part_of_bound(10 * SECOND));
@@ -326,8 +326,8 @@
 }
 
 /// Seeds, of so many, in which a tier with this mutant breaks the bound.
-fn count_caught(mutant: Mutant, lent_part: f64, seeds: u64) -> usize {
-    let setup = Setup { limiters: 3, counters: 1, lent_part, mutant };
+fn count_caught(mutant: Mutant, lent_fraction: f64, seeds: u64) -> usize {
+    let setup = Setup { limiters: 3, counters: 1, lent_fraction, mutant };
     (0..seeds).filter(|seed| setup.run(*seed).breaks_bound()).count()
 }
 
