--- a/crates/canary/examples/false_alarms.rs
+++ b/crates/canary/examples/false_alarms.rs
@@ -75,7 +75,7 @@
 
 fn analyse(before: &[Second], after: &[Second]) -> Verdict {
     let settings = Settings::default();
-    let baseline = &before[before.len() - settings.before_s as usize..];
+    let baseline = &before[before.len() - settings.baseline_s as usize..];
     let mut analysis = CanaryAnalysis::new(settings).expect("the default is in range");
     let evaluate = |n: usize| analysis.evaluate(n as u32, baseline, &after[..n]);
     (1..=after.len()).map(evaluate).last().expect("the run goes on after the change")
--- a/crates/canary/src/aggregation.rs
+++ b/crates/canary/src/aggregation.rs
@@ -16,7 +16,7 @@
 use crate::{OutcomeCount, Second};
 
 /// First byte of a datagram of outcome sums.
-pub const TALLIES_MAGIC: u8 = 0xa8;
+pub const OUTCOME_SUMS_MAGIC: u8 = 0xa8;
 /// The largest tier in which every limiter sends to every other.
 const MAX_FULL_MESH: ReplicaId = 9;
 /// Children of a node in larger tiers: with two trees a limiter receives at most 8 datagrams a second.
@@ -139,7 +139,7 @@
     /// The first whole second after the change.
     analysis_start: u64,
     /// Seconds of the analysis after the change.
-    watch_s: u64,
+    analysis_s: u64,
     own: BTreeMap<u64, OutcomeSum>,
     received: BTreeMap<Child, BTreeMap<u64, OutcomeSum>>,
     steps: u64,
@@ -147,12 +147,12 @@
 
 impl OutcomeAggregator {
     /// The part of replica `replica` of `replicas` for a version that is active from `activation` on (microseconds
-    /// of the tier's clock), with a baseline of `before_s` seconds and an analysis of `watch_s`.
+    /// of the tier's clock), with a baseline of `baseline_s` seconds and an analysis of `analysis_s`.
     pub fn new(
         (replica, replicas): (ReplicaId, ReplicaId),
         version: Slot,
         activation: u64,
-        (before_s, watch_s): (u32, u32),
+        (baseline_s, analysis_s): (u32, u32),
     ) -> OutcomeAggregator {
         let baseline_end = activation / MICROS_PER_SECOND;
         let first_root = (version % u64::from(replicas.max(1))) as ReplicaId;
@@ -160,10 +160,10 @@
             trees: AggregationTrees { replicas, first_root },
             replica,
             version,
-            baseline_start: baseline_end.saturating_sub(before_s.into()),
+            baseline_start: baseline_end.saturating_sub(baseline_s.into()),
             baseline_end,
             analysis_start: activation.div_ceil(MICROS_PER_SECOND),
-            watch_s: watch_s.into(),
+            analysis_s: analysis_s.into(),
             own: BTreeMap::new(),
             received: BTreeMap::new(),
             steps: 0,
@@ -171,11 +171,11 @@
     }
 
     fn analysis_end(&self) -> u64 {
-        self.analysis_start + self.watch_s
+        self.analysis_start + self.analysis_s
     }
 
     /// Whether a second lies after the change; `None` where it is not analysed at all.
-    pub fn side_of_change(&self, second: u64) -> Option<bool> {
+    pub fn is_after_change(&self, second: u64) -> Option<bool> {
         if (self.baseline_start..self.baseline_end).contains(&second) {
             Some(false)
         } else if (self.analysis_start..self.analysis_end()).contains(&second) {
@@ -187,7 +187,7 @@
 
     /// Records this limiter's own outcomes of a second: attempts, and those served in time, of each group.
     pub fn record_own(&mut self, second: u64, touched: (u32, u32), control: (u32, u32)) {
-        if self.side_of_change(second).is_some() {
+        if self.is_after_change(second).is_some() {
             let count = |(attempts, in_time): (u32, u32)| OutcomeCount { attempts, in_time };
             let sum = OutcomeSum { replicas: 1, touched: count(touched), control: count(control) };
             self.own.insert(second, sum);
@@ -199,7 +199,7 @@
     /// # Errors
     /// Where it is damaged, of another version, or not from a child of this limiter.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), DatagramError> {
-        let datagram: OutcomeDatagram = decode_datagram(TALLIES_MAGIC, bytes)?;
+        let datagram: OutcomeDatagram = decode_datagram(OUTCOME_SUMS_MAGIC, bytes)?;
         if !self.is_from_child(&datagram) || datagram.version != self.version {
             return Err(DatagramError::UnknownSender);
         }
@@ -269,11 +269,11 @@
             first_second: seconds.start,
             sums: seconds.map(|second| self.subtree_sum(tree, second)).collect(),
         };
-        encode_datagram(TALLIES_MAGIC, &datagram)
+        encode_datagram(OUTCOME_SUMS_MAGIC, &datagram)
     }
 
     /// The tree whose root this limiter is, if any: the root evaluates the change.
-    pub fn judged_tree(&self) -> Option<ReplicaId> {
+    pub fn evaluated_tree(&self) -> Option<ReplicaId> {
         (0..self.trees.count()).find(|tree| self.trees.parent(*tree, self.replica).is_none())
     }
 
@@ -285,9 +285,13 @@
 
     /// How many seconds after the change have settled; the seconds before and after it that include a majority of
     /// the limiters; and the number of limiters in the latest of these.
-    pub fn collected(&self, tree: ReplicaId, now: u64) -> (u32, Vec<Second>, Vec<Second>, ReplicaId) {
+    pub fn collected_outcomes(
+        &self,
+        tree: ReplicaId,
+        now: u64,
+    ) -> (u32, Vec<Second>, Vec<Second>, ReplicaId) {
         let settled = now.saturating_sub(self.settle_seconds());
-        let passed = settled.saturating_sub(self.analysis_start).min(self.watch_s);
+        let passed = settled.saturating_sub(self.analysis_start).min(self.analysis_s);
         let before = self.majority_sums(tree, self.baseline_start..self.baseline_end);
         let after = self.majority_sums(tree, self.analysis_start..self.analysis_start + passed);
         let latest_replicas = after.last().or(before.last()).map_or(0, |sum| sum.replicas);
--- a/crates/canary/src/aggregation/tests.rs
+++ b/crates/canary/src/aggregation/tests.rs
@@ -60,8 +60,8 @@
         let mut tier = tier(replicas, 1);
         let busiest = run_tier(&mut tier, 125, |_, _| false);
         assert!(busiest <= 8, "{replicas} limiters: {busiest}");
-        let root = tier.iter().find(|t| t.judged_tree() == Some(0)).expect("there is one");
-        let (passed, before, after, heard) = root.collected(0, 124);
+        let root = tier.iter().find(|t| t.evaluated_tree() == Some(0)).expect("there is one");
+        let (passed, before, after, heard) = root.collected_outcomes(0, 124);
         let n = u32::from(replicas);
         let whole = Second {
             touched: OutcomeCount { attempts: n * (n + 1) / 2, in_time: n * (n - 1) / 2 },
@@ -76,7 +76,8 @@
 fn seconds_without_a_majority_of_limiters_do_not_count() {
     let mut five = tier(5, 1);
     run_tier(&mut five, 125, |from, to| from.min(to) < 2 && from.max(to) >= 2);
-    let collected = |m: usize| five[m].collected(five[m].judged_tree().expect("all are roots"), 124);
+    let collected =
+        |m: usize| five[m].collected_outcomes(five[m].evaluated_tree().expect("all are roots"), 124);
     assert!(collected(0).1.is_empty() && collected(1).2.is_empty(), "two of five are no majority");
     assert_eq!((collected(2).1.len(), collected(4).3), (20, 3));
 }
@@ -89,8 +90,8 @@
         draws = draws.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
         draws >> 16 < 65_536 / 3
     });
-    let root = hundred.iter().find(|t| t.judged_tree() == Some(0)).expect("there is one");
-    let (_, before, after, heard) = root.collected(0, 130);
+    let root = hundred.iter().find(|t| t.evaluated_tree() == Some(0)).expect("there is one");
+    let (_, before, after, heard) = root.collected_outcomes(0, 130);
     assert!(before.len() >= 18 && after.len() >= 15 && heard > 50, "{before:?} {after:?} {heard}");
 }
 
--- a/crates/canary/src/lib.rs
+++ b/crates/canary/src/lib.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-pub use aggregation::{OutcomeAggregator, TALLIES_MAGIC};
+pub use aggregation::{OutcomeAggregator, OUTCOME_SUMS_MAGIC};
 
 /// Shortest baseline that the variation between seconds can be estimated from.
 const MIN_BASELINE_S: u32 = 10;
@@ -30,20 +30,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Seconds before the change that serve as its baseline, at least 10.
-    pub before_s: u32,
+    pub baseline_s: u32,
     /// Seconds for which a change is analysed after its activation.
-    pub watch_s: u32,
+    pub analysis_s: u32,
     /// Seconds after the activation before which a change is never rolled back.
-    pub first_look_s: u32,
+    pub first_evaluation_s: u32,
     /// Upper bound for the share of harmless changes that are rolled back, over the whole analysis.
-    pub false_alarms: f64,
+    pub false_alarm_rate: f64,
     /// Smallest drop of the share served in time, relative to the control group, that causes a rollback.
-    pub least_drop: f64,
+    pub min_drop: f64,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { before_s: 20, watch_s: 30, first_look_s: 5, false_alarms: 0.01, least_drop: 0.1 }
+        Settings {
+            baseline_s: 20,
+            analysis_s: 30,
+            first_evaluation_s: 5,
+            false_alarm_rate: 0.01,
+            min_drop: 0.1,
+        }
     }
 }
 
@@ -51,17 +57,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The baseline before the change is too short to be compared with.
-    #[error("before_s: expected 10 seconds at least")]
-    Before,
+    #[error("before: expected at least 10 seconds")]
+    Baseline,
     /// The first evaluation would come too early, or only after the analysis is over.
-    #[error("first_look_s: expected 3 seconds at least, and no more than watch_s")]
-    FirstLook,
+    #[error("first_look: expected at least 3 seconds and at most span")]
+    FirstEvaluation,
     /// The false alarm rate is no usable probability.
-    #[error("false_alarms: expected a share over 0 and up to 0.5")]
-    FalseAlarms,
+    #[error("false_alarms: expected a share above 0 and at most 0.5")]
+    FalseAlarmRate,
     /// The smallest drop that causes a rollback is not a share.
     #[error("least_drop: expected a share from 0 to 1")]
-    LeastDrop,
+    MinDrop,
 }
 
 impl Settings {
@@ -70,24 +76,24 @@
     /// # Errors
     /// Names the first setting that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
-        if self.before_s < MIN_BASELINE_S {
-            return Err(SettingsError::Before);
+        if self.baseline_s < MIN_BASELINE_S {
+            return Err(SettingsError::Baseline);
         }
-        if self.first_look_s < MIN_FIRST_EVALUATION_S || self.first_look_s > self.watch_s {
-            return Err(SettingsError::FirstLook);
+        if self.first_evaluation_s < MIN_FIRST_EVALUATION_S || self.first_evaluation_s > self.analysis_s {
+            return Err(SettingsError::FirstEvaluation);
         }
-        if !(self.false_alarms > 0.0 && self.false_alarms <= MAX_FALSE_ALARM_RATE) {
-            return Err(SettingsError::FalseAlarms);
+        if !(self.false_alarm_rate > 0.0 && self.false_alarm_rate <= MAX_FALSE_ALARM_RATE) {
+            return Err(SettingsError::FalseAlarmRate);
         }
-        if !(0.0..=1.0).contains(&self.least_drop) {
-            return Err(SettingsError::LeastDrop);
+        if !(0.0..=1.0).contains(&self.min_drop) {
+            return Err(SettingsError::MinDrop);
         }
         Ok(())
     }
 
     /// How many evaluations share the false alarm rate.
     fn evaluation_count(&self) -> u32 {
-        self.watch_s - self.first_look_s + 1
+        self.analysis_s - self.first_evaluation_s + 1
     }
 }
 
@@ -149,14 +155,14 @@
     /// the false alarm rate is divided by a fixed number of evaluations, which further ones would exceed.
     pub fn evaluate(&mut self, passed: u32, before: &[Second], after: &[Second]) -> Verdict {
         let is_final = self.verdict != Verdict::Goes;
-        if is_final || passed <= self.last_evaluated_s || passed < self.settings.first_look_s {
+        if is_final || passed <= self.last_evaluated_s || passed < self.settings.first_evaluation_s {
             return self.verdict;
         }
         self.last_evaluated_s = passed;
-        let drop = self.significant_drop(before, after).filter(|_| passed <= self.settings.watch_s);
+        let drop = self.significant_drop(before, after).filter(|_| passed <= self.settings.analysis_s);
         if let Some(drop) = drop {
             self.verdict = Verdict::Undo { drop, at_s: passed };
-        } else if passed >= self.settings.watch_s {
+        } else if passed >= self.settings.analysis_s {
             self.verdict = Verdict::Stands;
         }
         self.verdict
@@ -178,7 +184,7 @@
         let mut estimates = vec![touched_before, touched_after];
         estimates.extend(control_estimates.into_iter().flat_map(|(before, after)| [before, after]));
         let threshold = self.significance_threshold(&estimates)?;
-        (drop >= self.settings.least_drop && drop > threshold).then_some(drop)
+        (drop >= self.settings.min_drop && drop > threshold).then_some(drop)
     }
 
     /// The drop that chance exceeds no more often than one evaluation's part of the false alarm rate. Few seconds
@@ -189,7 +195,7 @@
         let degrees_of_freedom = variance * variance / weighted;
         let student = StudentsT::new(0.0, 1.0, degrees_of_freedom).ok()?;
         let evaluations = f64::from(self.settings.evaluation_count());
-        let quantile = student.inverse_cdf(1.0 - self.settings.false_alarms / evaluations);
+        let quantile = student.inverse_cdf(1.0 - self.settings.false_alarm_rate / evaluations);
         Some(quantile * variance.sqrt())
     }
 }
--- a/crates/canary/src/tests.rs
+++ b/crates/canary/src/tests.rs
@@ -79,8 +79,8 @@
         change(&mut settings);
         settings.check()
     };
-    assert_eq!(with(|s| s.before_s = 5), Err(SettingsError::Before));
-    assert_eq!(with(|s| s.first_look_s = 31), Err(SettingsError::FirstLook));
-    assert_eq!(with(|s| s.false_alarms = 0.0), Err(SettingsError::FalseAlarms));
-    assert_eq!(with(|s| s.least_drop = 1.5), Err(SettingsError::LeastDrop));
+    assert_eq!(with(|s| s.baseline_s = 5), Err(SettingsError::Baseline));
+    assert_eq!(with(|s| s.first_evaluation_s = 31), Err(SettingsError::FirstEvaluation));
+    assert_eq!(with(|s| s.false_alarm_rate = 0.0), Err(SettingsError::FalseAlarmRate));
+    assert_eq!(with(|s| s.min_drop = 1.5), Err(SettingsError::MinDrop));
 }
--- a/crates/canary/tests/compatibility.rs
+++ b/crates/canary/tests/compatibility.rs
@@ -1,6 +1,6 @@
 //! Datagrams of outcome sums, byte for byte as earlier releases send and read them.
 
-use sedgestack_canary::{OutcomeAggregator, OutcomeCount, Second, TALLIES_MAGIC};
+use sedgestack_canary::{OutcomeAggregator, OutcomeCount, Second, OUTCOME_SUMS_MAGIC};
 
 const RECORDED: &[u8] = include_bytes!("fixtures/tallies.bin");
 const REPLICAS: u16 = 3;
@@ -26,7 +26,7 @@
     let mut sender = aggregator(SENDER);
     record_outcomes(&mut sender);
     let sent = sender.step(95);
-    assert_eq!(RECORDED.first(), Some(&TALLIES_MAGIC));
+    assert_eq!(RECORDED.first(), Some(&OUTCOME_SUMS_MAGIC));
     let (_, first) = sent.first().expect("each limiter sends to the two others");
     assert_eq!(first, RECORDED);
 }
@@ -37,8 +37,8 @@
     let mut receiver = aggregator(receiver);
     record_outcomes(&mut receiver);
     receiver.receive(RECORDED).expect("it is for this limiter");
-    let tree = receiver.judged_tree().expect("in a small tier each limiter is a root");
-    let (_, before, after, replicas) = receiver.collected(tree, 95);
+    let tree = receiver.evaluated_tree().expect("in a small tier each limiter is a root");
+    let (_, before, after, replicas) = receiver.collected_outcomes(tree, 95);
     let count = |attempts: u32, in_time: u32| OutcomeCount { attempts, in_time };
     let twice =
         |second: u32| Second { touched: count(2 * second, 140_000), control: count(2 * (second - 80), 6) };
--- a/src/net/canary.rs
+++ b/src/net/canary.rs
@@ -131,7 +131,7 @@
 
     /// A version that touches these plans became active at `activated_at`.
     pub fn begin(&mut self, version: Slot, digest: Digest, activated_at: Micros, touched: Vec<bool>) {
-        let spans = (self.settings.before_s, self.settings.watch_s);
+        let spans = (self.settings.baseline_s, self.settings.analysis_s);
         let Ok(analysis) = CanaryAnalysis::new(self.settings.clone()) else { return };
         let mut watched = WatchedChange {
             version,
@@ -163,7 +163,7 @@
             watched.count(&outcomes);
         }
         self.recent.push_back(outcomes);
-        while self.recent.len() as u64 > u64::from(self.settings.before_s) + 2 {
+        while self.recent.len() as u64 > u64::from(self.settings.baseline_s) + 2 {
             self.recent.pop_front();
         }
     }
@@ -190,8 +190,8 @@
         self.stepped_at = second;
         let Some(watched) = self.watched() else { return CanaryStep::default() };
         if watched.verdict != Verdict::Stands {
-            if let Some(tree) = watched.outcomes.judged_tree() {
-                let (passed, before, after, limiters) = watched.outcomes.collected(tree, second);
+            if let Some(tree) = watched.outcomes.evaluated_tree() {
+                let (passed, before, after, limiters) = watched.outcomes.collected_outcomes(tree, second);
                 watched.verdict = watched.analysis.evaluate(passed, &before, &after);
                 watched.limiters = limiters;
                 (watched.seconds_before, watched.seconds_after) = (before.len(), after.len());
@@ -220,7 +220,7 @@
             _ => (None, None),
         };
         json!({
-            "version": w.version, "state": state, "judges": w.outcomes.judged_tree().is_some(), "drop": drop,
+            "version": w.version, "state": state, "judges": w.outcomes.evaluated_tree().is_some(), "drop": drop,
             "after_s": after_s, "limiters": w.limiters, "seconds_before": w.seconds_before,
             "seconds_after": w.seconds_after,
         })
@@ -231,7 +231,7 @@
     /// Before the change the requests under earlier versions count, after it those under the changed one: not those that
     /// were accepted under one version and ended under the next.
     fn count(&mut self, outcomes: &SecondOutcomes) {
-        let Some(after) = self.outcomes.side_of_change(outcomes.second) else { return };
+        let Some(after) = self.outcomes.is_after_change(outcomes.second) else { return };
         let (mut touched, mut control) = (OutcomeCounts::default(), OutcomeCounts::default());
         let counted = outcomes.versions.iter().filter(|(version, _)| (**version >= self.version) == after);
         for (plan, counts) in counted.flat_map(|(_, plans)| plans.iter().enumerate()) {
--- a/src/net/config/settings.rs
+++ b/src/net/config/settings.rs
@@ -173,11 +173,11 @@
         is_whole.then_some((span / SECOND) as u32).ok_or_else(|| s.error_at(key, expected))
     };
     let settings = sedgestack_canary::Settings {
-        before_s: seconds("before", 10, defaults.before_s)?,
-        watch_s: seconds("span", 3, defaults.watch_s)?,
-        first_look_s: seconds("first_look", 3, defaults.first_look_s)?,
-        false_alarms: s.number_or("false_alarms", 1e-6..=0.5, defaults.false_alarms)?,
-        least_drop: s.number_or("least_drop", 0.0..=1.0, defaults.least_drop)?,
+        baseline_s: seconds("before", 10, defaults.baseline_s)?,
+        analysis_s: seconds("span", 3, defaults.analysis_s)?,
+        first_evaluation_s: seconds("first_look", 3, defaults.first_evaluation_s)?,
+        false_alarm_rate: s.number_or("false_alarms", 1e-6..=0.5, defaults.false_alarm_rate)?,
+        min_drop: s.number_or("least_drop", 0.0..=1.0, defaults.min_drop)?,
     };
     settings.check().map_err(|e| s.error(e.to_string()))?;
     s.reject_unknown_keys()?;
--- a/src/net/config/settings/tests.rs
+++ b/src/net/config/settings/tests.rs
@@ -43,7 +43,7 @@
     let error = of("tier {\n  watch {\n    before = \"10500ms\"\n  }\n}\n").expect_err("an error");
     assert_eq!(error, "ours.hcl:3:14: tier.watch.before: expected whole seconds, from \"10s\" to \"600s\"");
     let error = of("tier {\n  watch {\n    span = \"4s\"\n  }\n}\n").expect_err("an error");
-    assert!(error.contains("first_look_s: expected 3 seconds at least, and no more than watch_s"), "{error}");
+    assert!(error.contains("first_look: expected at least 3 seconds and at most span"), "{error}");
 }
 
 #[test]
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sedgestack::Micros;
-use sedgestack_canary::TALLIES_MAGIC;
+use sedgestack_canary::OUTCOME_SUMS_MAGIC;
 use sedgestack_consensus::{
     DatagramError, Digest, Replica, ReplicaEvent, ReplicaId, Settings, SettingsError, Slot, Value,
     VersionLease,
@@ -174,7 +174,7 @@
             COUNTERS.tier_over.increment();
             return;
         }
-        if bytes.first() == Some(&TALLIES_MAGIC) {
+        if bytes.first() == Some(&OUTCOME_SUMS_MAGIC) {
             return self.on_outcome_counts(bytes);
         }
         COUNTERS.tier_taken_in.increment();
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sedgestack_canary::TALLIES_MAGIC;
+use sedgestack_canary::OUTCOME_SUMS_MAGIC;
 use sedgestack_consensus::CONSENSUS_MAGIC;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
@@ -128,7 +128,7 @@
 
 /// Whether a datagram is one of the consensus group or of canary analysis.
 fn is_for_consensus(bytes: &[u8]) -> bool {
-    matches!(bytes.first(), Some(&CONSENSUS_MAGIC | &TALLIES_MAGIC))
+    matches!(bytes.first(), Some(&CONSENSUS_MAGIC | &OUTCOME_SUMS_MAGIC))
 }
 
 #[cfg(test)]
--- a/src/net/peers/tests.rs
+++ b/src/net/peers/tests.rs
@@ -25,7 +25,7 @@
         Some(Message::PeerDatagram { from: 1, bytes }) => assert_eq!(bytes, [2; MAX_DATAGRAM_BYTES]),
         _ => panic!("the datagram of 256 bytes comes first"),
     }
-    for magic in [CONSENSUS_MAGIC, TALLIES_MAGIC] {
+    for magic in [CONSENSUS_MAGIC, OUTCOME_SUMS_MAGIC] {
         peer.send_to(&[magic, 9], address).await.expect("sent");
         assert_eq!(consensus_datagrams.recv().await, Some(vec![magic, 9]), "it goes to the consensus actor");
     }
