--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -54,7 +54,7 @@
     UnknownReplica(ReplicaId),
     /// This replica restarted without its votes and may not vote on that slot yet.
     #[error("this limiter has forgotten its votes and can't begin version {0} yet: begin it at another one")]
-    VotesForgotten(Slot),
+    VotesLost(Slot),
 }
 
 /// Why a datagram was not taken in.
--- a/crates/consensus/src/proposals.rs
+++ b/crates/consensus/src/proposals.rs
@@ -158,7 +158,7 @@
     /// # Errors
     /// Where it can't be proposed here and now.
     pub fn propose(&mut self, now: Micros, document: Vec<u8>, parent: Slot) -> Result<Slot, ProposeError> {
-        self.propose_to(now, document, parent, BTreeSet::new())
+        self.propose_requiring(now, document, parent, BTreeSet::new())
     }
 
     /// As [`Replica::propose`]; where a replica of `required` does not answer within the activation delay, the change
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     /// Where it can't be proposed here and now.
-    pub fn propose_to(
+    pub fn propose_requiring(
         &mut self,
         now: Micros,
         document: Vec<u8>,
@@ -207,7 +207,7 @@
         }
         // Without a vote of its own the replica would start no ballot, and the operator would never be answered.
         if !self.votes.may_vote(slot) {
-            return Err(ProposeError::VotesForgotten(slot));
+            return Err(ProposeError::VotesLost(slot));
         }
         match required.iter().find(|replica| **replica >= self.settings.replicas) {
             Some(unknown) => Err(ProposeError::UnknownReplica(*unknown)),
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -120,7 +120,7 @@
     tier.kill(2);
     let clock = tier.clock(0);
     let proposer = tier.replicas[0].as_mut().expect("it runs");
-    assert_eq!(proposer.propose_to(clock, b"for all".to_vec(), 0, [2].into()), Ok(1));
+    assert_eq!(proposer.propose_requiring(clock, b"for all".to_vec(), 0, [2].into()), Ok(1));
     tier.run(20_000);
     let unanswered = ReplicaEvent::ProposalUnanswered { slot: 1, replicas: vec![2] };
     assert!(tier.events[0].contains(&unanswered), "{:?}", tier.events[0]);
@@ -194,7 +194,7 @@
     tier.kill(2);
     tier.restart(2, None);
     tier.run(3_000);
-    assert_eq!(tier.propose(2, b"without votes"), Err(ProposeError::VotesForgotten(1)));
+    assert_eq!(tier.propose(2, b"without votes"), Err(ProposeError::VotesLost(1)));
     assert_eq!(tier.propose(0, b"with votes"), Ok(1));
     tier.run(8_000);
     assert_eq!(tier.active_versions(), [1, 1, 1]);
--- a/src/net/consensus/operator_calls.rs
+++ b/src/net/consensus/operator_calls.rs
@@ -218,7 +218,7 @@
     pub(super) fn propose(&mut self, document: Document, required: BTreeSet<ReplicaId>) -> Answer {
         let (now, (parent, _)) = (self.now(), self.replica.active_version());
         let digest = document.digest();
-        let proposed = self.replica.propose_to(now, document.text.into_bytes(), parent, required);
+        let proposed = self.replica.propose_requiring(now, document.text.into_bytes(), parent, required);
         let version = proposed.map_err(CallError::conflict)?;
         self.staged.remove(&digest);
         let outcome = ProposalOutcome::Open;
