--- a/crates/consensus/src/document_transfer.rs
+++ b/crates/consensus/src/document_transfer.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy of documents: what is missing is requested from peers in chunks, and any chunk that is here is sent.
+//! Transfer of documents between replicas: missing documents are requested from peers in chunks, and every available
+//! chunk is sent on request, even if its document is incomplete.
 
 use crate::documents::DocumentChunk;
 use crate::event::ReplicaEvent;
@@ -6,29 +7,30 @@
 use crate::replica::Replica;
 use crate::{Digest, Micros, ReplicaId};
 
-/// Chunks that are sent for one request.
+/// Number of chunks sent in answer to one request.
 const CHUNKS_PER_REQUEST: u8 = 4;
-/// A document is requested again after this part of a round: a little less than a whole one, as rounds vary.
+/// Minimum time between two requests for the same document, in percent of a round. It is less than a whole round
+/// because the lengths of rounds vary.
 const REQUEST_INTERVAL_PERCENT: u64 = 90;
 
-/// A document that a vote needs.
+/// A document that this replica needs before it can vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct NeededDocument {
     digest: Digest,
-    /// When it was last requested; 0 before.
+    /// When the document was last requested; 0 if it has not been.
     requested_at: Micros,
-    /// The replica that named it, which has all of it.
+    /// The replica that asked for the vote; it has the complete document.
     source: ReplicaId,
 }
 
-/// A request to accept a value whose document was missing.
+/// A request to accept a value that waits for the value's document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct DeferredAccept {
     from: ReplicaId,
     request: AcceptRequest,
 }
 
-/// What votes wait for: the latest document that one needs, and the latest request that waits for its document.
+/// The latest document that a vote needs, and the latest accept request that waits for its document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct DocumentTransfer {
     needed: Option<NeededDocument>,
@@ -36,22 +38,23 @@
 }
 
 impl DocumentTransfer {
-    /// Keeps a request until its document has come. A later one replaces it.
+    /// Keeps a request until its document is complete, in place of any earlier deferred request.
     pub(crate) fn defer_accept(&mut self, from: ReplicaId, request: AcceptRequest) {
         self.deferred = Some(DeferredAccept { from, request });
     }
 
-    /// Notes that a vote needs a document, and who has it.
-    fn need(&mut self, digest: Digest, source: ReplicaId) {
-        let requested_at = self.needed_as(&digest).map_or(0, |needed| needed.requested_at);
+    /// Records that a vote needs a document, and which replica has it.
+    fn record_needed(&mut self, digest: Digest, source: ReplicaId) {
+        let requested_at = self.needed_document(&digest).map_or(0, |needed| needed.requested_at);
         self.needed = Some(NeededDocument { digest, requested_at, source });
     }
 
-    fn needed_as(&self, digest: &Digest) -> Option<&NeededDocument> {
+    fn needed_document(&self, digest: &Digest) -> Option<&NeededDocument> {
         self.needed.as_ref().filter(|needed| needed.digest == *digest)
     }
 
-    /// Whether a document may be requested now; a needed one may be once a round, and is noted as requested.
+    /// Whether a document may be requested now. For a document that a vote needs this limits requests to one per
+    /// round, and `now` is recorded as the time of its latest request.
     fn start_request(&mut self, digest: &Digest, now: Micros, heartbeat_interval: Micros) -> bool {
         let Some(needed) = self.needed.as_mut().filter(|needed| needed.digest == *digest) else {
             return true;
@@ -65,8 +68,8 @@
 }
 
 impl Replica {
-    /// Documents that must outlast a cleanup: of its votes, of the active and the decided version, and of a change that
-    /// was proposed here. Sorted, each once.
+    /// Returns the documents that must be kept: those of accepted values, of the active and the decided version, and of
+    /// a change proposed by this replica. They are sorted and unique.
     pub(crate) fn documents_in_use(&self) -> Vec<Digest> {
         let mut digests: Vec<Digest> = self.votes.documents().collect();
         digests.extend(self.learner.active_document());
@@ -77,24 +80,26 @@
         digests
     }
 
-    /// Documents that are needed and missing. The decided one first: the one that a vote needed may be gone with its
-    /// proposer.
+    /// Returns the documents that are needed but missing. The decided version's document comes first, because the one
+    /// that a vote needs may have been lost with its proposer.
     fn missing_documents(&self) -> impl Iterator<Item = Digest> + '_ {
         let decided = self.learner.value().active_document();
         let needed = self.transfer.needed.map(|needed| needed.digest);
         decided.into_iter().chain(needed).filter(|digest| !self.documents.has(digest))
     }
 
-    /// Notes that a vote needs a document that `source` has named, and requests it there. What this replica proposes
-    /// itself was found accepted by others: some peer has it, and the next round asks one.
+    /// Records that a vote requested by `source` needs a document, and requests the document from there.
+    ///
+    /// If the source is this replica itself, it proposes a value that others have accepted before: some peer has the
+    /// document, and the next round requests it from one.
     pub(crate) fn fetch_for_vote(&mut self, source: ReplicaId, digest: Digest) {
-        self.transfer.need(digest, source);
+        self.transfer.record_needed(digest, source);
         if source != self.settings.replica {
             self.request_document(source, digest);
         }
     }
 
-    /// Requests a document of a peer, beginning at a random one of the missing chunks.
+    /// Requests a document from a peer, starting at a randomly chosen missing chunk.
     fn request_document(&mut self, to: ReplicaId, digest: Digest) {
         if !self.transfer.start_request(&digest, self.now, self.settings.heartbeat_interval) {
             return;
@@ -104,15 +109,17 @@
         self.send(to, Body::DocumentRequest { digest, first_chunk });
     }
 
-    /// Requests a missing document, once a round. Its source is asked by all replicas, so each asks it in its turn
-    /// only, and the source takes in no more requests than a proposer does answers. In other rounds a random peer is
-    /// asked, which may have the document or a part of it.
+    /// Requests a missing document; called once per round.
+    ///
+    /// As all replicas request the document from the same source, each does so only in its turn. The source thus
+    /// receives no more requests than a proposer receives answers. In other rounds a random peer is asked, which may
+    /// have the document or some of its chunks.
     pub(crate) fn request_missing_document(&mut self) {
         let Some(digest) = self.missing_documents().next() else { return };
         let own = self.settings.replica;
         let turns = u64::from(self.settings.replicas).div_ceil(self.settings.requests_per_round()).max(2);
         let is_turn = (u64::from(own) + self.rounds).is_multiple_of(turns);
-        let source = self.transfer.needed_as(&digest).map(|needed| needed.source);
+        let source = self.transfer.needed_document(&digest).map(|needed| needed.source);
         let to = match source.filter(|source| is_turn && *source != own) {
             Some(source) => Some(source),
             None => self.random_peer(),
@@ -122,7 +129,7 @@
         }
     }
 
-    /// A peer drawn at random; none in a group of one.
+    /// Returns a random peer, or `None` in a group of one.
     fn random_peer(&mut self) -> Option<ReplicaId> {
         let peers = u64::from(self.settings.replicas - 1);
         if peers == 0 {
@@ -133,7 +140,7 @@
         Some(if is_below_own { drawn } else { drawn + 1 })
     }
 
-    /// A peer asks for chunks of a document from one on.
+    /// Handles a peer's request for chunks of a document, starting at `first_chunk`.
     pub(crate) fn handle_document_request(&mut self, from: ReplicaId, digest: Digest, first_chunk: u8) {
         for index in first_chunk..first_chunk.saturating_add(CHUNKS_PER_REQUEST) {
             if let Some(chunk) = self.documents.chunk(&digest, index) {
@@ -142,7 +149,7 @@
         }
     }
 
-    /// A chunk of a document came. Once the document is complete, the vote that waited for it is cast.
+    /// Handles a chunk of a document. When the document is complete, the deferred accept request is handled.
     pub(crate) fn handle_document_chunk(&mut self, chunk: DocumentChunk) {
         let digest = chunk.digest;
         let is_missing = self.missing_documents().any(|missing| missing == digest);
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,75 +1,75 @@
-//! Why a call was not carried out.
+//! Errors of settings, proposals and received datagrams.
 
 use crate::documents::MAX_DOCUMENT_BYTES;
 use crate::settings::MAX_REPLICAS;
 use crate::{ReplicaId, Slot};
 
-/// Why settings can't be used.
+/// Invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The group is empty or too large, or this replica is not of it.
-    #[error("members: expected 1 to {MAX_REPLICAS}, and the member's own number below it")]
+    /// The group is empty or too large, or this replica's number is not in it.
+    #[error("replicas: expected 1 to {MAX_REPLICAS}, and this replica's number below that count")]
     InvalidReplicas,
     /// The heartbeat interval is zero, or too long for the lease.
-    #[error("round: expected a span over 0, and lease of four rounds at least")]
+    #[error("round: expected a duration above 0, and a lease of at least four rounds")]
     InvalidHeartbeatInterval,
     /// A vote could not end before the activation of its change.
-    #[error("lead: expected {least_ms} ms at least: lease, skew and the rounds that a vote of so many members takes")]
+    #[error("lead: expected at least {least_ms} ms: lease, skew and the rounds that a vote of so many replicas takes")]
     ActivationDelayTooShort {
-        /// The shortest activation delay that would do.
+        /// The shortest valid activation delay, in milliseconds.
         least_ms: u64,
     },
-    /// Heartbeats alone would take more than half of what a replica takes in.
-    #[error("fanout: {per_second} beats a second would reach a member, of {max_datagrams_per_second} that it takes in; expected half of them at most")]
+    /// Heartbeats would take more than half of the datagrams that a replica may receive.
+    #[error("fanout: each replica would receive {per_second} heartbeats per second; expected at most half of intake, {max_datagrams_per_second} datagrams per second")]
     TooManyHeartbeats {
-        /// Heartbeats that would reach a replica in a second.
+        /// Heartbeats that each replica would receive per second.
         per_second: u64,
-        /// Datagrams that a replica takes in a second.
+        /// Maximum number of datagrams that a replica may receive per second.
         max_datagrams_per_second: u32,
     },
 }
 
-/// Why a change is not proposed.
+/// Reason why a change cannot be proposed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// This replica's status is another than current.
-    #[error("this limiter is not in touch with a majority")]
+    /// The status of this replica is not [`ReplicaStatus::Current`](crate::ReplicaStatus::Current).
+    #[error("this limiter does not know the active version: it is detached or behind")]
     NotCurrent,
-    /// A vote on that slot is open.
-    #[error("version {0} is being decided: try again once it is")]
+    /// A vote on this slot is in progress.
+    #[error("version {0} is being decided: try again afterwards")]
     InProgress(Slot),
-    /// Another version was decided since the change was made.
-    #[error("the change was made for version {parent}, and version {current} is in force by now")]
+    /// The change is based on an earlier version than the latest decided one.
+    #[error("the change is based on version {parent}, but the latest version is {current}")]
     StaleParent {
-        /// The version that the change was made for.
+        /// The version that the change is based on.
         parent: Slot,
         /// The latest decided version.
         current: Slot,
     },
     /// The document is longer than [`MAX_DOCUMENT_BYTES`].
-    #[error("the document has {0} bytes; at most {MAX_DOCUMENT_BYTES} fit")]
+    #[error("the document has {0} bytes; the maximum is {MAX_DOCUMENT_BYTES}")]
     DocumentTooLong(usize),
-    /// A replica whose promise is required is not of the group.
-    #[error("there is no member {0}")]
+    /// A required replica is not in the group.
+    #[error("there is no replica {0}")]
     UnknownReplica(ReplicaId),
-    /// This replica restarted without its votes and may not vote on that slot yet.
-    #[error("this limiter has forgotten its votes and can't begin version {0} yet: begin it at another one")]
+    /// This replica restarted without its votes and may not vote on this slot yet.
+    #[error("this limiter lost its votes and cannot propose version {0} yet: propose it at another limiter")]
     VotesLost(Slot),
 }
 
-/// Why a datagram was not taken in.
+/// Reason why a received datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DatagramError {
-    /// Its first byte is another protocol's.
-    #[error("it is none of the agreement's")]
-    NotConsensus,
-    /// It was written by a release with another format.
-    #[error("its format {0} is not known here")]
+    /// The first byte is not the magic byte of the expected protocol.
+    #[error("the datagram belongs to another protocol")]
+    OtherProtocol,
+    /// The datagram was encoded by a release with another format.
+    #[error("unknown datagram format {0}")]
     UnknownFormat(u8),
-    /// Its checksum or its contents are wrong: it was damaged on its way.
-    #[error("it is damaged")]
+    /// The checksum or the contents are wrong: the datagram was corrupted on its way.
+    #[error("the datagram is corrupt")]
     Corrupt,
-    /// Its sender is not of the group, or is this replica itself.
-    #[error("its sender is no member")]
+    /// The sender is not in the group, or is the receiving replica itself.
+    #[error("the sender is not a peer in this group")]
     UnknownSender,
 }
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,42 +1,42 @@
-//! What a replica reports to its caller.
+//! Events that a replica reports to its caller.
 
 use crate::paxos::Value;
 use crate::{Digest, ReplicaId, ReplicaStatus, Slot};
 
-/// What happened, for logs and counters.
+/// An event in a replica, for logs and counters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReplicaEvent {
-    /// All chunks of a document have come.
+    /// The last missing chunk of a document was received.
     DocumentReceived {
         /// The document's digest.
         digest: Digest,
     },
     /// A version was decided.
     Decided {
-        /// The version.
+        /// The decided version.
         slot: Slot,
-        /// What it was decided to be.
+        /// Its value.
         value: Value,
     },
-    /// A version is active here from now on.
+    /// A version became active on this replica.
     Activated {
-        /// The version.
+        /// The active version.
         slot: Slot,
-        /// The document that is served under it; none before the first change.
+        /// The active document; `None` before the first change.
         digest: Option<Digest>,
     },
-    /// A change that was proposed here was not made; another was, or none.
+    /// A change proposed by this replica was not decided; another change was, or none.
     ProposalLost {
-        /// The version that it was proposed as.
+        /// The version that the change was proposed for.
         slot: Slot,
     },
-    /// A change that was proposed here was given up, as these replicas did not answer within its activation delay.
+    /// A change proposed by this replica was abandoned because required replicas did not answer in time.
     ProposalUnanswered {
-        /// The version that it was proposed as.
+        /// The version that the change was proposed for.
         slot: Slot,
-        /// Replicas whose promise was required and did not come.
+        /// Required replicas that have not promised.
         replicas: Vec<ReplicaId>,
     },
-    /// The replica's status is another one from now on.
+    /// The replica's status changed.
     StatusChanged(ReplicaStatus),
 }
--- a/crates/consensus/src/heartbeat.rs
+++ b/crates/consensus/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: what each replica sends every round, to whom, and what is taken out of those that come.
+//! Heartbeats: their contents, the peers that receive them each round, and the handling of received ones.
 
 use crate::message::{Body, Heartbeat, PeerObservation, AGE_STEP};
 use crate::random::splitmix64;
@@ -6,13 +6,15 @@
 use crate::settings::Settings;
 use crate::{Micros, ReplicaId};
 
-/// Observations that fit into a heartbeat; in a larger group each heartbeat carries the next so many.
+/// Maximum number of observations in a heartbeat. In a larger group successive heartbeats cover the replicas in turn.
 const MAX_OBSERVATIONS: u16 = 96;
-/// Bits by which the shared draw is rotated for each further target.
+/// Bits by which the shared random number is rotated for each further target.
 const TARGET_ROTATION: u32 = 7;
 
-/// The replicas that this round's heartbeat goes to: the same distances onward for all replicas, drawn by the clock.
-/// So each takes in as many as it sends, where peers drawn one by one would crowd at some.
+/// Returns the replicas that receive this round's heartbeat.
+///
+/// The targets lie at pseudo-random distances from the sender, derived from the clock and therefore equal for all
+/// replicas: each replica receives as many heartbeats as it sends. Independently drawn targets would overload some.
 fn targets(settings: &Settings, now: Micros) -> Vec<ReplicaId> {
     let peers = u64::from(settings.replicas - 1);
     let count = u64::from(settings.fanout).min(peers);
@@ -27,7 +29,7 @@
 }
 
 impl Replica {
-    /// Sends this round's heartbeat.
+    /// Sends this round's heartbeat to its targets.
     pub(crate) fn send_heartbeats(&mut self) {
         let heartbeat = self.heartbeat();
         for to in targets(&self.settings, self.now) {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// The replica that this round's observations begin with.
+    /// Returns the replica that this round's first observation is about.
     fn first_observed(&self) -> ReplicaId {
         let replicas = self.settings.replicas;
         if replicas <= MAX_OBSERVATIONS {
@@ -63,15 +65,15 @@
         (self.rounds * u64::from(MAX_OBSERVATIONS) % u64::from(replicas)) as ReplicaId
     }
 
-    /// Takes in a heartbeat that was sent at a time of the sender's clock.
+    /// Handles a heartbeat; `sent` is the sender's clock when it was sent.
     pub(crate) fn handle_heartbeat(&mut self, from: ReplicaId, sent: Micros, heartbeat: &Heartbeat) {
         let decided = self.learner.decided();
         if !heartbeat.has_lost_votes {
             self.peers.record(from, sent, heartbeat.highest_accepted, decided);
         }
         let replicas = u32::from(self.settings.replicas);
-        for (place, observation) in (u32::from(heartbeat.first)..).zip(&heartbeat.observations) {
-            let replica = (place % replicas) as ReplicaId;
+        for (position, observation) in (u32::from(heartbeat.first)..).zip(&heartbeat.observations) {
+            let replica = (position % replicas) as ReplicaId;
             if replica != self.settings.replica && replica != from {
                 self.record_observation(replica, sent, heartbeat, observation);
             }
@@ -79,7 +81,7 @@
         self.learn(heartbeat.decided, heartbeat.value, heartbeat.is_active);
     }
 
-    /// Records what a heartbeat says of a third replica.
+    /// Records a heartbeat's observation of a replica other than its sender and this one.
     fn record_observation(
         &mut self,
         replica: ReplicaId,
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,48 +1,48 @@
-//! The version lease: for how long a replica may rely on the version that it knows, and its status.
+//! The version lease, which states how long a replica may rely on the version that it knows, and the replica's status.
 //!
-//! Whoever was seen lately had accepted nothing newer than what it said. Deciding a version takes a majority, so a
-//! replica that has seen a majority within the lease has seen every version that may be active.
+//! A heartbeat reports the highest slot that its sender has accepted. Deciding a version takes a majority, and every
+//! two majorities share a replica: a replica that has heard from a majority within the lease therefore knows of every
+//! version that may be active.
 
 use crate::event::ReplicaEvent;
 use crate::replica::Replica;
 use crate::{Digest, Micros, ReplicaId, Slot};
 
-/// How far a replica may rely on the version that it knows.
+/// Whether a replica may rely on the version that it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReplicaStatus {
-    /// It knows the active version.
+    /// The replica knows the active version.
     Current,
-    /// It knows of a version whose activation has come and does not know what it is.
+    /// A newer version may be active that the replica does not know or has not activated.
     Behind,
-    /// It has not seen a majority within the lease, or its clock is apart from theirs.
+    /// The replica has not seen a majority within the lease, or its clock differs too much from theirs.
     Detached,
 }
 
-/// For how long a replica knows the active version without another datagram.
+/// How long a replica knows the active version if it receives no further datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct VersionLease {
-    /// Until then, by its own clock, the version that it serves under is known to be active; 0 where it is not known
-    /// now.
+    /// End of the lease by the replica's own clock; 0 if the active version is not known now.
     pub valid_until: Micros,
-    /// The version that it activates by itself: from when on, which one, and its document.
+    /// The decided version that the replica will activate: the time of its activation, the version and its document.
     pub scheduled: Option<(Micros, Slot, Digest)>,
 }
 
 impl Replica {
-    /// For how long it knows the active version, if no further datagram came.
+    /// Returns how long this replica knows the active version if it receives no further datagrams.
     pub fn version_lease(&self) -> VersionLease {
         let scheduled = self.scheduled_activation();
         let valid_until = match self.status {
             ReplicaStatus::Current => {
-                let until = self.lease_of_last_seen().min(self.lease_of_open_vote());
-                until.min(self.lease_of_activation(scheduled.map(|(from, ..)| from)))
+                let until = self.lease_end_by_last_seen().min(self.lease_end_by_open_vote());
+                until.min(self.lease_end_by_activation(scheduled.map(|(from, ..)| from)))
             }
             ReplicaStatus::Behind | ReplicaStatus::Detached => 0,
         };
         VersionLease { valid_until, scheduled }
     }
 
-    /// The decided version, where it is still to be activated and its document is here.
+    /// Returns the activation of the decided version, if it is still to come and the document is available.
     fn scheduled_activation(&self) -> Option<(Micros, Slot, Digest)> {
         if self.learner.is_active() {
             return None;
@@ -51,25 +51,25 @@
         Some((from, self.learner.decided(), self.learner.value().active_document()?))
     }
 
-    /// The end of the lease that a majority's last heartbeats give. The replica's own part never ends it: it accepts
-    /// nothing that it does not know of.
-    fn lease_of_last_seen(&self) -> Micros {
+    /// Returns the end of the lease granted by the latest heartbeats of a majority. The replica counts itself as seen
+    /// at any time, as it always knows what it has accepted.
+    fn lease_end_by_last_seen(&self) -> Micros {
         let last_seen = self.quorum_time(self.peers.last_seen_times(), Some(Micros::MAX)).unwrap_or(0);
         last_seen.saturating_add(self.settings.lease)
     }
 
-    /// The end of the lease by an open vote: its version is activated a margin after a majority was last idle at the
-    /// earliest.
-    fn lease_of_open_vote(&self) -> Micros {
+    /// Returns the end of the lease in view of an open vote: the earliest time at which the version that is voted on can
+    /// be activated, a lease margin after a majority was last idle.
+    fn lease_end_by_open_vote(&self) -> Micros {
         if !self.has_open_vote() {
             return Micros::MAX;
         }
         self.last_idle_quorum(Micros::MAX).unwrap_or(0).saturating_add(self.settings.lease_margin())
     }
 
-    /// The end of the lease by a decided version that is not active yet: its activation, unless this replica activates
-    /// it in time.
-    fn lease_of_activation(&self, scheduled_at: Option<Micros>) -> Micros {
+    /// Returns the end of the lease in view of a decided version that is not active yet: its activation, unless this
+    /// replica will activate it in time.
+    fn lease_end_by_activation(&self, scheduled_at: Option<Micros>) -> Micros {
         if self.learner.is_active() {
             return Micros::MAX;
         }
@@ -81,21 +81,21 @@
         }
     }
 
-    /// Whether any replica has accepted a value above the decided version, as far as is known.
+    /// Whether any replica is known to have accepted a value above the decided version.
     fn has_open_vote(&self) -> bool {
         self.highest_accepted_anywhere() > self.learner.decided()
     }
 
-    /// The time since which a majority was seen idle. `now` counts for this replica while it is idle itself; later it
-    /// counts as of its acceptance.
+    /// Returns the latest time at which a majority was idle. For this replica `now` counts while it is idle, and
+    /// otherwise the time at which it accepted a value in the open slot.
     fn last_idle_quorum(&self, now: Micros) -> Option<Micros> {
         let is_idle = self.highest_accepted() <= self.learner.decided();
         let own = if is_idle { Some(now) } else { self.votes.accepted_at() };
         self.quorum_time(self.peers.last_idle_times(), own)
     }
 
-    /// The latest time that a majority reaches, of the peers' times and the replica's own. Its own counts only where
-    /// it may vote.
+    /// Returns the latest time that is reached or exceeded by the times of a majority, among those of the peers and of
+    /// this replica. Its own time counts only if it may vote.
     fn quorum_time(&self, peers: impl Iterator<Item = Micros>, own: Option<Micros>) -> Option<Micros> {
         let own = own.filter(|_| self.votes.may_vote(self.learner.open_slot()));
         let mut times: Vec<Micros> = peers.chain(own).collect();
@@ -103,8 +103,8 @@
         times.get(self.settings.quorum() - 1).copied()
     }
 
-    /// Notes whether a sender's clock is ahead of this one. A late datagram looks like a clock behind; one ahead can
-    /// only be a clock.
+    /// Records whether a sender's clock is ahead of this replica's by more than the maximum skew. A clock that is behind
+    /// cannot be detected, as its datagrams look like delayed ones.
     pub(crate) fn check_clock(&mut self, from: ReplicaId, sent: Micros) {
         if sent > self.now + self.settings.max_clock_skew {
             self.peers_ahead.insert(from);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Works out the status, and reports it where it has changed.
+    /// Evaluates the status and reports a change of it.
     pub(crate) fn update_status(&mut self) {
         let status = self.evaluate_status();
         if status != self.status {
@@ -132,8 +132,8 @@
         if !self.has_open_vote() {
             return ReplicaStatus::Current;
         }
-        // The version that is voted on was not decided while a majority was idle, and is activated a margin after that
-        // at the earliest.
+        // The version that is voted on was not decided while a majority was idle, so the earliest time of its activation
+        // is a lease margin after that.
         let last_idle = self.last_idle_quorum(self.now);
         if last_idle.is_some_and(|at| self.now < at + self.settings.lease_margin()) {
             ReplicaStatus::Current
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,17 +1,19 @@
-//! Consensus of limiters on versions of their runtime configuration.
+//! Consensus among limiters on the versions of their runtime configuration.
 //!
-//! A [`Replica`] is one limiter's part: it is given the time, the datagrams that came and what an operator wants, and
-//! says which datagrams to send and which version is active. It does no I/O and reads no clock; the same calls give the
-//! same answers. What it guarantees, and why, is laid out in `docs/design/0002-configuration-transactions.md`.
+//! A [`Replica`] is one limiter's member of the consensus group. The caller passes it the time, received datagrams and
+//! operators' requests; the replica returns the datagrams to send and reports which version is active. It does no I/O
+//! and reads no clock, and the same calls always give the same results. Its guarantees and their reasons are described
+//! in `docs/design/0002-configuration-transactions.md`.
 //!
-//! Versions are slots that are decided one after the other, each by single-decree Paxos ([`Ballot`], [`Value`]):
+//! Each version is one slot, and slots are decided in order, each by single-decree Paxos ([`Ballot`], [`Value`]).
+//! The modules are:
 //!
-//! - `replica`: the engine, which hands datagrams and time to the parts;
-//! - `paxos`: acceptor and proposer of one slot;
-//! - `voting`, `proposals`, `learner`: the replica in each of Paxos' roles, over all slots;
-//! - `heartbeat`, `peers`, `lease`: what replicas tell each other every round, and how long it may be relied on;
-//! - `documents`, `document_transfer`: the configurations themselves, fetched in chunks by whoever needs them;
-//! - `message`, `snapshot`: the formats on the wire and on disk.
+//! - `replica`: dispatches datagrams and the passage of time to the other modules;
+//! - `paxos`: acceptor and proposer of a single slot;
+//! - `voting`, `proposals`, `learner`: the replica in each Paxos role, across all slots;
+//! - `heartbeat`, `peers`, `lease`: the state that replicas exchange every round, and how long it remains valid;
+//! - `documents`, `document_transfer`: storage of configuration documents, and their transfer in chunks;
+//! - `message`, `snapshot`: the wire format and the format on disk.
 #![forbid(unsafe_code)]
 
 mod document_transfer;
@@ -43,9 +45,9 @@
 pub use settings::Settings;
 pub use snapshot::Snapshot;
 
-/// Microseconds of a clock that all replicas share within [`Settings::max_clock_skew`].
+/// Time in microseconds, by clocks that differ between replicas by at most [`Settings::max_clock_skew`].
 pub type Micros = u64;
-/// A replica's number, from 0.
+/// Number of a replica in its group, starting at 0.
 pub type ReplicaId = u16;
-/// A version's number, which is the slot that decides it: 0 is what every replica starts with.
+/// Number of a version, which is also the slot that decides it. Every replica starts with version 0.
 pub type Slot = u64;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,6 +1,6 @@
-//! Datagrams between replicas: 256 bytes at most, each complete in itself.
+//! Datagrams between replicas. Each has at most 256 bytes and can be handled without any other.
 //!
-//! Postcard writes neither names nor numbers of fields, so the order of variants and fields is the format.
+//! Postcard encodes neither names nor tags of fields, so the order of variants and fields defines the wire format.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,44 +9,45 @@
 use crate::paxos::{AcceptedValue, Ballot, Value};
 use crate::{Digest, Micros, ReplicaId, Slot};
 
-/// The longest datagram.
+/// Maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// First byte of every datagram of the consensus.
+/// First byte of every consensus datagram.
 pub const CONSENSUS_MAGIC: u8 = 0xa7;
-/// The version of the datagrams' format, their second byte.
+/// Version of the datagram format, the second byte of every datagram.
 pub const FORMAT_VERSION: u8 = 1;
-/// Ages of observations are given in steps of this, rounded up.
+/// Unit of the ages of observations, which are rounded up.
 pub(crate) const AGE_STEP: Micros = 50_000;
 const CHECKSUM_BYTES: usize = 4;
-/// Bytes before the contents: magic, format and checksum.
+/// Bytes before the contents: magic byte, format version and checksum.
 const HEADER_BYTES: usize = 2 + CHECKSUM_BYTES;
 
-/// What the sender of a heartbeat knows of another replica.
+/// What the sender of a heartbeat knows about another replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PeerObservation {
-    /// How long ago it was last seen, in steps of [`AGE_STEP`].
+    /// Time since the replica was last seen, in units of [`AGE_STEP`].
     pub(crate) age_steps: u8,
-    /// Its highest accepted slot, counted down from the sender's own.
+    /// How far the replica's highest accepted slot lies below the sender's.
     pub(crate) slots_below: u8,
 }
 
 impl PeerObservation {
-    /// Stands for unknown in either field.
+    /// Marks either field as unknown.
     const UNKNOWN_FIELD: u8 = u8::MAX;
-    /// Nothing is known of the replica that would fit.
+    /// The replica has not been seen, or a value does not fit into its field.
     pub(crate) const UNKNOWN: PeerObservation =
         PeerObservation { age_steps: Self::UNKNOWN_FIELD, slots_below: Self::UNKNOWN_FIELD };
 
-    /// An observation; unknown where a figure does not fit, or where the replica is ahead of the sender.
+    /// Returns [`Self::UNKNOWN`] if a value does not fit into its field, or if `slots_below` is `None` because the
+    /// replica is ahead of the sender.
     pub(crate) fn new(age_steps: u64, slots_below: Option<Slot>) -> PeerObservation {
-        let fits = |figure: u64| u8::try_from(figure).ok().filter(|figure| *figure != Self::UNKNOWN_FIELD);
-        match (fits(age_steps), slots_below.and_then(fits)) {
+        let to_field = |value: u64| u8::try_from(value).ok().filter(|value| *value != Self::UNKNOWN_FIELD);
+        match (to_field(age_steps), slots_below.and_then(to_field)) {
             (Some(age_steps), Some(slots_below)) => PeerObservation { age_steps, slots_below },
             _ => PeerObservation::UNKNOWN,
         }
     }
 
-    /// Whether it says anything.
+    /// Whether the sender knew the observed replica's state.
     pub(crate) fn is_known(&self) -> bool {
         self.age_steps != Self::UNKNOWN_FIELD && self.slots_below != Self::UNKNOWN_FIELD
     }
@@ -59,15 +60,15 @@
     pub(crate) highest_accepted: Slot,
     /// The latest version that the sender knows to be decided.
     pub(crate) decided: Slot,
-    /// What that version was decided to be.
+    /// The value that was decided for that version.
     pub(crate) value: Value,
-    /// Whether the sender has activated it.
+    /// Whether the sender has activated that version.
     pub(crate) is_active: bool,
-    /// The sender has lost its votes of the open slot, so its heartbeat counts for no lease.
+    /// Whether the sender has lost its votes for the open slot. Its heartbeat then extends no lease.
     pub(crate) has_lost_votes: bool,
-    /// The replica that the first observation is about; the others follow it, counted round.
+    /// The replica that the first observation is about. The others follow in order, wrapping around to 0.
     pub(crate) first: ReplicaId,
-    /// Observations of all replicas where they fit, else of a part.
+    /// Observations of all replicas if they fit, otherwise of a range of them.
     pub(crate) observations: Vec<PeerObservation>,
 }
 
@@ -77,36 +78,37 @@
     pub(crate) slot: Slot,
     pub(crate) ballot: Ballot,
     pub(crate) value: Value,
-    /// The value was accepted in an earlier ballot and may have been decided: it is accepted however late it is.
+    /// Whether a replica accepted the value in an earlier ballot. The value may then have been decided, so it is
+    /// accepted even if its activation is too close.
     pub(crate) previously_accepted: bool,
 }
 
-/// What a datagram says.
+/// The message-specific part of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Body {
-    /// The sender's state.
+    /// The sender's periodic report of its state.
     Heartbeat(Heartbeat),
-    /// Asks for a promise.
+    /// Asks an acceptor to promise a ballot.
     Prepare {
         slot: Slot,
         ballot: Ballot,
-        /// The document that is proposed, so that acceptors request it meanwhile.
+        /// The proposed document, so that acceptors can fetch it before they are asked to accept it.
         document: Option<Digest>,
     },
-    /// Answers [`Body::Prepare`]: no lower ballot will be answered.
+    /// Answers [`Body::Prepare`]: the sender will reject all lower ballots.
     Promise {
         slot: Slot,
         ballot: Ballot,
-        /// What the sender had accepted.
+        /// The value that the sender has accepted in this slot, if any.
         accepted: Option<AcceptedValue>,
     },
-    /// Asks to accept a value.
+    /// Asks an acceptor to accept a value.
     Accept(AcceptRequest),
-    /// Answers [`Body::Accept`].
+    /// Answers [`Body::Accept`]: the sender has accepted the value.
     Accepted { slot: Slot, ballot: Ballot },
-    /// Answers either request: a higher ballot was promised, and which.
+    /// Answers [`Body::Prepare`] or [`Body::Accept`]: the sender has promised `ballot`, which is higher.
     Rejected { slot: Slot, ballot: Ballot },
-    /// Asks for a document's chunks from one on.
+    /// Asks for chunks of a document, starting with `first_chunk`.
     DocumentRequest { digest: Digest, first_chunk: u8 },
     /// A chunk of a document.
     DocumentChunk(DocumentChunk),
@@ -116,36 +118,37 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Message {
     pub(crate) from: ReplicaId,
-    /// When it was sent, by the sender's clock.
+    /// When the message was sent, by the sender's clock.
     pub(crate) sent: Micros,
     pub(crate) body: Body,
 }
 
-/// The first bytes of the BLAKE3 digest: they show what a network damages, and keep out no attacker.
+/// Returns the first bytes of the BLAKE3 digest. This detects corruption by the network; it is no protection against
+/// attackers.
 fn checksum(contents: &[u8]) -> [u8; CHECKSUM_BYTES] {
     let digest = blake3::hash(contents);
     std::array::from_fn(|n| digest.as_bytes()[n])
 }
 
-/// A datagram: its magic byte, the format's version, a checksum, and the contents.
+/// Encodes a datagram: the magic byte, the format version, a checksum and the contents.
 ///
 /// # Panics
-/// Where it is longer than [`MAX_DATAGRAM_BYTES`]: settings that were checked make none.
+/// If the datagram is longer than [`MAX_DATAGRAM_BYTES`], which cannot happen with valid settings.
 pub fn encode_datagram(magic: u8, contents: &impl Serialize) -> Vec<u8> {
-    let contents = postcard::to_stdvec(contents).expect("it holds nothing that can't be encoded");
+    let contents = postcard::to_stdvec(contents).expect("the contents can be encoded");
     let bytes = [&[magic, FORMAT_VERSION][..], &checksum(&contents), &contents].concat();
-    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "a datagram of {} bytes", bytes.len());
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "datagram too long: {} bytes", bytes.len());
     bytes
 }
 
-/// The contents of a datagram with a magic byte.
+/// Decodes the contents of a datagram that must start with the given magic byte.
 ///
 /// # Errors
-/// Says why the bytes can't be read here.
+/// If the datagram belongs to another protocol, has an unknown format or is corrupt.
 pub fn decode_datagram<'a, T: Deserialize<'a>>(magic: u8, bytes: &'a [u8]) -> Result<T, DatagramError> {
     let format = match bytes {
         [first, format, ..] if *first == magic => *format,
-        _ => return Err(DatagramError::NotConsensus),
+        _ => return Err(DatagramError::OtherProtocol),
     };
     if format != FORMAT_VERSION {
         return Err(DatagramError::UnknownFormat(format));
@@ -160,7 +163,8 @@
     postcard::from_bytes(contents).map_err(|_| DatagramError::Corrupt)
 }
 
-/// What kind of message a datagram is, for those that record or disturb them; `None` for what is none.
+/// Returns the kind of a consensus datagram, for tests that record datagrams or inject faults; `None` if the bytes
+/// cannot be decoded.
 pub fn datagram_kind(bytes: &[u8]) -> Option<&'static str> {
     Some(match Message::decode(bytes).ok()?.body {
         Body::Heartbeat(_) => "beat",
@@ -175,18 +179,18 @@
 }
 
 impl Message {
-    /// Its bytes.
+    /// Encodes the message as a datagram.
     ///
     /// # Panics
-    /// Where it is longer than [`MAX_DATAGRAM_BYTES`]: settings that were checked make none.
+    /// If the datagram is longer than [`MAX_DATAGRAM_BYTES`], which cannot happen with valid settings.
     pub(crate) fn encode(&self) -> Vec<u8> {
         encode_datagram(CONSENSUS_MAGIC, self)
     }
 
-    /// A message out of bytes.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// Says why the bytes are no message that can be read here.
+    /// If the datagram belongs to another protocol, has an unknown format or is corrupt.
     pub(crate) fn decode(bytes: &[u8]) -> Result<Message, DatagramError> {
         decode_datagram(CONSENSUS_MAGIC, bytes)
     }
--- a/crates/consensus/src/paxos/acceptor.rs
+++ b/crates/consensus/src/paxos/acceptor.rs
@@ -1,29 +1,29 @@
-//! The acceptor's part in one slot's vote.
+//! The Paxos acceptor of one slot.
 
 use serde::{Deserialize, Serialize};
 
 use crate::paxos::{Ballot, Value};
 
-/// A value that was accepted, and the ballot in which it was.
+/// An accepted value and the ballot in which it was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptedValue {
-    /// The ballot in which it was accepted.
+    /// The ballot in which the value was accepted.
     pub ballot: Ballot,
-    /// The value.
+    /// The accepted value.
     pub value: Value,
 }
 
-/// An acceptor's state in one slot: it must survive a restart, or the replica may not vote on that slot again.
+/// State of an acceptor in one slot. If it is lost in a restart, the replica must not vote on that slot again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Acceptor {
-    /// The highest ballot that was promised: it answers none below.
+    /// The highest promised ballot; requests of lower ballots are rejected.
     pub promised: Ballot,
-    /// The value of the highest ballot in which it accepted one.
+    /// The value accepted in the highest ballot so far, if any.
     pub accepted: Option<AcceptedValue>,
 }
 
 impl Acceptor {
-    /// Promises a ballot unless a higher one was promised; whether it did.
+    /// Promises a ballot unless a higher one was promised; returns whether it did.
     pub fn prepare(&mut self, ballot: Ballot) -> bool {
         if ballot < self.promised {
             return false;
@@ -32,7 +32,7 @@
         true
     }
 
-    /// Accepts a value unless a higher ballot was promised; whether it did.
+    /// Accepts a value unless a higher ballot was promised; returns whether it did.
     pub fn accept(&mut self, ballot: Ballot, value: Value) -> bool {
         if ballot < self.promised {
             return false;
--- a/crates/consensus/src/paxos/ballot.rs
+++ b/crates/consensus/src/paxos/ballot.rs
@@ -1,14 +1,14 @@
-//! Ballots: numbers of attempts to decide a slot.
+//! Ballots, the numbered attempts to decide a slot.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ReplicaId;
 
-/// A ballot: ordered by round, then by replica, so that no two replicas ever share one.
+/// A ballot number, ordered by round and then by replica. The replica makes it unique.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counts the attempts: a proposer takes one above every round that it has seen.
+    /// Number of the attempt. A proposer chooses a round above all that it has seen.
     pub round: u32,
-    /// The proposer.
+    /// The replica that started the ballot.
     pub replica: ReplicaId,
 }
--- a/crates/consensus/src/paxos/mod.rs
+++ b/crates/consensus/src/paxos/mod.rs
@@ -1,4 +1,4 @@
-//! Single-decree Paxos (Lamport, "Paxos Made Simple", 2001): the rules of one slot's vote, without I/O or time.
+//! Single-decree Paxos (Lamport, "Paxos Made Simple", 2001) for one slot. It does no I/O and reads no clock.
 
 mod acceptor;
 mod ballot;
--- a/crates/consensus/src/paxos/proposer.rs
+++ b/crates/consensus/src/paxos/proposer.rs
@@ -1,41 +1,41 @@
-//! The proposer's part in one slot's vote.
+//! The Paxos proposer of one slot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::paxos::{AcceptedValue, Ballot, Value};
 use crate::{Micros, ReplicaId};
 
-/// How far a proposer is.
+/// Phase of a proposer's ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Collects promises, and what those who gave them had accepted.
+    /// The proposer collects promises.
     Preparing {
-        /// What each replica that promised had accepted.
+        /// The replicas that have promised, each with the value that it had accepted before, if any.
         promises: BTreeMap<ReplicaId, Option<AcceptedValue>>,
     },
-    /// Collects acceptances of a value.
+    /// The proposer collects acceptances of a value.
     Accepting {
-        /// The value.
+        /// The value to be accepted.
         value: Value,
-        /// Whether a replica had accepted it in an earlier ballot; else it is the proposer's own.
+        /// Whether a replica had accepted the value in an earlier ballot; otherwise it is the proposer's own proposal.
         previously_accepted: bool,
-        /// Replicas that accepted it in this ballot.
+        /// Replicas that have accepted the value in this ballot.
         acceptances: BTreeSet<ReplicaId>,
     },
 }
 
-/// A proposer's ballot.
+/// A proposer and the state of its ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
-    /// The ballot.
+    /// The ballot number.
     pub ballot: Ballot,
-    /// The value that it proposes where no earlier one may have been decided.
+    /// The value to propose if the promises show no value that may have been decided.
     pub proposal: Value,
-    /// How far it is.
+    /// The current phase.
     pub phase: Phase,
     /// When the ballot was started.
     pub started_at: Micros,
-    /// Replicas beside a quorum without whose promise nothing is accepted.
+    /// Replicas whose promises are needed in addition to a quorum.
     pub required: BTreeSet<ReplicaId>,
 }
 
@@ -46,12 +46,12 @@
         Proposer { ballot, proposal, phase, started_at: now, required }
     }
 
-    /// Whether it still collects promises.
+    /// Whether the proposer still collects promises.
     pub fn is_preparing(&self) -> bool {
         matches!(self.phase, Phase::Preparing { .. })
     }
 
-    /// Required replicas that have not promised yet.
+    /// Returns the required replicas that have not promised yet.
     pub fn missing_promises(&self) -> Vec<ReplicaId> {
         match &self.phase {
             Phase::Preparing { promises } => {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether a replica has not answered in this phase.
+    /// Whether the proposer still waits for a replica's answer in this phase.
     pub fn awaits(&self, replica: ReplicaId) -> bool {
         match &self.phase {
             Phase::Preparing { promises } => !promises.contains_key(&replica),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Answers that came in both phases; a finished first phase counts as a quorum of them.
+    /// Returns the number of answers received in both phases. A completed first phase counts as one quorum.
     pub fn answers(&self, quorum: usize) -> usize {
         match &self.phase {
             Phase::Preparing { promises } => promises.len(),
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Records a promise. Once there is a quorum of them, and one of each required replica, the value is settled: the
-    /// one accepted in the highest ballot, else its own.
+    /// Records a promise. When a quorum and all required replicas have promised, the second phase begins with the value
+    /// that was accepted in the highest ballot, or with the proposer's own proposal if none was.
     pub fn record_promise(&mut self, replica: ReplicaId, accepted: Option<AcceptedValue>, quorum: usize) {
         let Phase::Preparing { promises } = &mut self.phase else { return };
         promises.insert(replica, accepted);
@@ -93,7 +93,7 @@
         };
     }
 
-    /// Records an acceptance; the value, once a quorum has accepted it.
+    /// Records an acceptance; returns the value once a quorum has accepted it.
     pub fn record_acceptance(&mut self, replica: ReplicaId, quorum: usize) -> Option<Value> {
         let Phase::Accepting { value, acceptances, .. } = &mut self.phase else { return None };
         acceptances.insert(replica);
--- a/crates/consensus/src/paxos/value.rs
+++ b/crates/consensus/src/paxos/value.rs
@@ -1,28 +1,28 @@
-//! Values that a slot may be decided to have.
+//! Values that can be decided for a slot.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Digest, Micros};
 
-/// What a version may be decided to be.
+/// The value of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Value {
-    /// A document, active from a moment on.
+    /// A document that becomes active at a given time.
     Change {
-        /// The document.
+        /// Digest of the document.
         digest: Digest,
-        /// When it is activated.
+        /// When the document becomes active.
         at: Micros,
     },
-    /// Nothing changes: a change was proposed and could not be made.
+    /// No change: a proposed change was not decided, and the previous document stays active.
     Void {
-        /// The document of the version before, which stays active; none before the first change.
+        /// Document of the previous version; `None` before the first change.
         keeps: Option<Digest>,
     },
 }
 
 impl Value {
-    /// The moment from which a change is active; none for a void, which takes effect at once.
+    /// Returns when a change becomes active; `None` for a void value, which takes effect at once.
     pub fn activates_at(&self) -> Option<Micros> {
         match self {
             Value::Change { at, .. } => Some(*at),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The document that is served under this version; none before the first change.
+    /// Returns the document that is active under this version; `None` before the first change.
     pub fn active_document(&self) -> Option<Digest> {
         match self {
             Value::Change { digest, .. } => Some(*digest),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether its activation is less than `margin` away or has passed.
+    /// Whether the activation is less than `margin` away or has passed; false for a void value.
     pub(crate) fn activates_within(&self, margin: Micros, now: Micros) -> bool {
         self.activates_at().is_some_and(|at| now + margin > at)
     }
--- a/crates/consensus/src/proposals.rs
+++ b/crates/consensus/src/proposals.rs
@@ -1,4 +1,4 @@
-//! The replica as a proposer: changes that are proposed here, and open votes that it takes over from others.
+//! The replica as a proposer: its own proposals, and open votes that it takes over from other replicas.
 
 use std::collections::BTreeSet;
 
@@ -11,12 +11,12 @@
 use crate::replica::Replica;
 use crate::{Digest, Micros, ReplicaId, Slot};
 
-/// Replicas take over an open vote in turns, one a round; beyond so many they share a turn.
+/// Number of turns, one per round, in which replicas may take over an open vote. Larger groups share turns.
 const TAKEOVER_TURNS: u64 = 8;
-/// Where answers are lost a proposer asks up to so many times as many replicas in a round.
+/// Maximum factor by which a proposer increases the number of replicas that it asks per round when answers are lost.
 const MAX_REQUEST_FACTOR: u64 = 4;
 
-/// A change that was proposed at this replica and is not decided yet.
+/// A change proposed at this replica whose slot is not decided yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct LocalProposal {
     slot: Slot,
@@ -24,84 +24,86 @@
 }
 
 impl LocalProposal {
-    /// Whether a decided value is the one that was proposed.
-    fn is_made_by(&self, slot: Slot, value: Value) -> bool {
+    /// Whether a decided value is the proposed change.
+    fn is_decided_by(&self, slot: Slot, value: Value) -> bool {
         slot == self.slot && value.active_document() == Some(self.digest) && value.activates_at().is_some()
     }
 }
 
-/// A slot whose vote has begun somewhere and is not finished.
+/// A slot whose vote has begun at any replica and is not finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OpenVote {
     slot: Slot,
-    /// When this replica learned of it, or saw somebody work on it.
-    since: Micros,
+    /// When this replica learned of the vote, or last saw a proposer work on it.
+    last_progress: Micros,
 }
 
-/// What this replica proposes, and the vote that it would take over.
+/// This replica's ballot and proposal, and the open vote that it may take over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Proposals {
-    /// The ballot that this replica works on.
+    /// The proposer of this replica's current ballot.
     proposer: Option<Proposer>,
     /// The replica that the proposer asks next.
     next_asked: ReplicaId,
-    /// The highest round of a ballot that was seen: a new ballot takes the one above.
+    /// The highest round of any ballot seen. A new ballot uses the next higher one.
     highest_round: u32,
     local: Option<LocalProposal>,
     open_vote: Option<OpenVote>,
 }
 
 impl Proposals {
-    /// Nothing is proposed yet; rounds up to `highest_round` were used before a restart.
+    /// Returns a state without proposals; ballots up to `highest_round` were seen before a restart.
     pub(crate) fn new(highest_round: u32) -> Proposals {
         Proposals { proposer: None, next_asked: 0, highest_round, local: None, open_vote: None }
     }
 
-    /// The highest round of a ballot that was seen, to be kept across a restart.
+    /// Returns the highest round of any ballot seen, for the snapshot.
     pub(crate) fn highest_round(&self) -> u32 {
         self.highest_round
     }
 
-    /// Takes note of a round that a ballot has.
+    /// Records the round of a ballot seen.
     pub(crate) fn observe_round(&mut self, round: u32) {
         self.highest_round = self.highest_round.max(round);
     }
 
-    /// The document of the change that was proposed here.
+    /// Returns the document of the change proposed at this replica.
     pub(crate) fn local_document(&self) -> Option<Digest> {
         self.local.map(|local| local.digest)
     }
 
-    /// Somebody works on the open vote: a replica that took it over at once would only compete.
+    /// Restarts the wait before a takeover of the open vote. Called when another proposer works on the vote, as a
+    /// takeover would only compete with it.
     pub(crate) fn postpone_takeover(&mut self, now: Micros) {
         if let Some(vote) = &mut self.open_vote {
-            vote.since = now;
+            vote.last_progress = now;
         }
     }
 
-    /// A slot was decided: its vote is closed. Gives the slot of a change that was proposed here and lost.
+    /// Closes the vote on a decided slot. Returns the slot of a change proposed at this replica that was not decided.
     pub(crate) fn on_decided(&mut self, slot: Slot, value: Value) -> Option<Slot> {
         self.proposer = None;
         self.open_vote = None;
         let local = self.local.take_if(|local| local.slot <= slot)?;
-        (!local.is_made_by(slot, value)).then_some(local.slot)
+        (!local.is_decided_by(slot, value)).then_some(local.slot)
     }
 
-    /// Takes note of whether the vote on a slot is open.
+    /// Records whether the vote on a slot is open.
     fn track_open_vote(&mut self, slot: Slot, is_open: bool, now: Micros) {
         if !is_open {
             self.open_vote = None;
         } else if self.open_vote.is_none_or(|vote| vote.slot != slot) {
-            self.open_vote = Some(OpenVote { slot, since: now });
+            self.open_vote = Some(OpenVote { slot, last_progress: now });
         }
     }
 
-    /// Whether a change that was proposed here is not decided and nobody here works on it: another ballot passed it.
-    fn has_stalled(&self, decided: Slot) -> bool {
+    /// Whether a change proposed at this replica is not decided and this replica no longer works on it, because
+    /// another proposer's ballot was higher.
+    fn has_stalled_proposal(&self, decided: Slot) -> bool {
         self.proposer.is_none() && self.local.is_some_and(|local| local.slot > decided)
     }
 
-    /// Starts a ballot above all that were seen.
+    /// Starts a ballot with a round above all that were seen.
     fn start_ballot(
         &mut self,
         replica: ReplicaId,
@@ -114,12 +116,12 @@
         self.proposer = Some(Proposer::new(ballot, proposal, required, now));
     }
 
-    /// The proposer, if it works on this ballot.
+    /// Returns the proposer if it works on the given ballot.
     fn proposer_of(&mut self, ballot: Ballot) -> Option<&mut Proposer> {
         self.proposer.as_mut().filter(|proposer| proposer.ballot == ballot)
     }
 
-    /// What the proposer asks of other replicas in its phase.
+    /// Returns the request that the proposer sends to other replicas in its current phase.
     fn request(&self, slot: Slot) -> Option<Body> {
         let proposer = self.proposer.as_ref()?;
         let ballot = proposer.ballot;
@@ -133,8 +135,8 @@
         })
     }
 
-    /// Up to `count` replicas beside `own` whose answer the proposer waits for, each in its turn.
-    fn take_next_asked(&mut self, own: ReplicaId, replicas: ReplicaId, count: u64) -> Vec<ReplicaId> {
+    /// Returns up to `count` replicas other than `own` whose answers are missing, starting after those returned last.
+    fn next_recipients(&mut self, own: ReplicaId, replicas: ReplicaId, count: u64) -> Vec<ReplicaId> {
         let Some(proposer) = &self.proposer else { return Vec::new() };
         let mut asked = Vec::new();
         for step in 0..replicas {
@@ -153,19 +155,20 @@
 }
 
 impl Replica {
-    /// Proposes a change of version `parent`; the version that it will be, if it is made.
+    /// Proposes a change that is based on version `parent`. Returns the version that the change becomes if it is
+    /// decided.
     ///
     /// # Errors
-    /// Where it can't be proposed here and now.
+    /// If this replica cannot propose the change now.
     pub fn propose(&mut self, now: Micros, document: Vec<u8>, parent: Slot) -> Result<Slot, ProposeError> {
         self.propose_requiring(now, document, parent, BTreeSet::new())
     }
 
-    /// As [`Replica::propose`]; where a replica of `required` does not answer within the activation delay, the change
-    /// is not made, and [`ReplicaEvent::ProposalUnanswered`] names it.
+    /// Proposes a change like [`Replica::propose`], with the condition that all `required` replicas promise its ballot.
+    /// If some do not answer in time, the change is abandoned and [`ReplicaEvent::ProposalUnanswered`] names them.
     ///
     /// # Errors
-    /// Where it can't be proposed here and now.
+    /// If this replica cannot propose the change now.
     pub fn propose_requiring(
         &mut self,
         now: Micros,
@@ -183,7 +186,7 @@
         Ok(slot)
     }
 
-    /// Checks whether a change can be proposed here and now.
+    /// Checks whether this replica can propose a change now.
     fn check_proposal(
         &self,
         document: &[u8],
@@ -205,7 +208,7 @@
         if is_open || !self.learner.is_active() {
             return Err(ProposeError::InProgress(slot));
         }
-        // Without a vote of its own the replica would start no ballot, and the operator would never be answered.
+        // A replica that may not vote starts no ballot, so the operator would never get an answer.
         if !self.votes.may_vote(slot) {
             return Err(ProposeError::VotesLost(slot));
         }
@@ -220,22 +223,27 @@
         self.drive_ballot();
     }
 
-    /// Starts a ballot that changes nothing, unless a replica has accepted a change.
+    /// Starts a ballot for a void value. It decides a change nevertheless if a replica has accepted one.
     fn start_void_ballot(&mut self) {
         self.start_ballot(self.learner.void_value(), BTreeSet::new());
     }
 
-    /// Takes note of whether the vote on the open slot has begun. A change that was proposed here and passed by a
-    /// proposer that has died since counts too, though nobody has accepted anything: its operator waits for an answer.
+    /// Records whether the vote on the open slot has begun.
+    ///
+    /// The vote also counts as open if a change proposed at this replica was superseded by a higher ballot, even if no
+    /// replica has accepted anything: the other proposer may have died, and the operator waits for an answer.
     pub(crate) fn track_open_vote(&mut self) {
         let decided = self.learner.decided();
-        let is_open = self.proposals.has_stalled(decided) || self.highest_accepted_anywhere() > decided;
+        let is_open =
+            self.proposals.has_stalled_proposal(decided) || self.highest_accepted_anywhere() > decided;
         self.proposals.track_open_vote(self.learner.open_slot(), is_open, self.now);
     }
 
-    /// The proposer's part in a round. A ballot goes on until a higher one is promised, which a rejection says:
-    /// started anew it would ask all replicas twice. Only one whose activation has come too near ends: what was not
-    /// decided by now is not made. A vote that nobody finishes is taken over.
+    /// Continues this replica's ballot, or takes over an abandoned vote; called once per round.
+    ///
+    /// A ballot continues until a rejection shows that a higher one was promised, as a new ballot would have to ask all
+    /// replicas again. A ballot that times out is abandoned only if the activation of its change is too close, because
+    /// a new change is not accepted then.
     pub(crate) fn advance_ballot(&mut self) {
         let timeout = self.settings.ballot_timeout();
         match &self.proposals.proposer {
@@ -251,7 +259,7 @@
         }
     }
 
-    /// Replaces a ballot that can't be finished in time; `missing` are required replicas that have not promised.
+    /// Replaces a ballot that cannot finish in time; `missing` are the required replicas that have not promised.
     fn give_up_ballot(&mut self, missing: Vec<ReplicaId>) {
         if !missing.is_empty() {
             let slot = self.learner.open_slot();
@@ -260,17 +268,17 @@
         self.start_void_ballot();
     }
 
-    /// Takes over a vote that was open for longer than a ballot takes, once it is this replica's turn.
+    /// Takes over an open vote without progress for longer than `timeout`, when it is this replica's turn.
     fn take_over_if_due(&mut self, timeout: Micros) {
         let Some(vote) = self.proposals.open_vote else { return };
         let turn = (u64::from(self.settings.replica) + self.rounds) % TAKEOVER_TURNS;
-        let is_due = self.now - vote.since >= timeout + turn * self.settings.heartbeat_interval;
+        let is_due = self.now - vote.last_progress >= timeout + turn * self.settings.heartbeat_interval;
         if is_due && self.votes.may_vote(self.learner.open_slot()) {
             self.start_void_ballot();
         }
     }
 
-    /// Sends again what the proposer waits for, after this replica's own vote.
+    /// Casts this replica's own vote in its ballot, then sends the ballot's requests for this round.
     fn drive_ballot(&mut self) {
         let slot = self.learner.open_slot();
         if !self.votes.may_vote(slot) {
@@ -279,16 +287,16 @@
         }
         self.promise_own_ballot(slot);
         self.accept_own_value(slot);
-        // None where the own vote was the last that was missing, or was refused.
+        // There is no request if this replica's own vote completed the ballot or was rejected.
         let Some(request) = self.proposals.request(slot) else { return };
         let count = self.requests_this_round();
         let (own, replicas) = (self.settings.replica, self.settings.replicas);
-        for to in self.proposals.take_next_asked(own, replicas, count) {
+        for to in self.proposals.next_recipients(own, replicas, count) {
             self.send(to, request.clone());
         }
     }
 
-    /// This replica's own promise to its ballot; without it the ballot ends, as a higher one was promised.
+    /// Promises this replica's own ballot. If it has promised a higher one, its ballot ends.
     fn promise_own_ballot(&mut self, slot: Slot) {
         let own = self.settings.replica;
         let Some(proposer) = &mut self.proposals.proposer else { return };
@@ -303,7 +311,7 @@
         }
     }
 
-    /// This replica's own acceptance of the value that its ballot has settled on.
+    /// Asks this replica's own acceptor to accept the value of its ballot, in the second phase.
     fn accept_own_value(&mut self, slot: Slot) {
         let own = self.settings.replica;
         let is_awaited = self.proposals.proposer.as_ref().is_some_and(|proposer| proposer.awaits(own));
@@ -315,19 +323,19 @@
         }
     }
 
-    /// Replicas to ask in this round: as many as may answer in one; more, by the share of answers that are missing,
-    /// where some were lost.
+    /// Returns how many replicas to ask in this round: as many as may answer in a round, or proportionally more if
+    /// fewer answers than expected have arrived.
     fn requests_this_round(&self) -> u64 {
         let per_round = self.settings.requests_per_round();
         let Some(proposer) = &self.proposals.proposer else { return per_round };
         let rounds = (self.now - proposer.started_at) / self.settings.heartbeat_interval;
-        // The answers of the last round are on their way still.
+        // The answers to the requests of the last round are still on their way.
         let expected = (rounds * per_round).saturating_sub(per_round).max(1);
         let received = proposer.answers(self.settings.quorum()).max(1) as u64;
         (per_round * expected / received).clamp(per_round, MAX_REQUEST_FACTOR * per_round)
     }
 
-    /// A replica promised a ballot, and says what it had accepted.
+    /// Handles a promise, which reports the value that its sender has accepted.
     pub(crate) fn handle_promise(
         &mut self,
         from: ReplicaId,
@@ -349,7 +357,7 @@
         }
     }
 
-    /// A replica accepted the value of a ballot.
+    /// Handles a replica's acceptance of the value of a ballot.
     pub(crate) fn handle_accepted(&mut self, from: ReplicaId, slot: Slot, ballot: Ballot) {
         if slot != self.learner.open_slot() {
             return;
@@ -361,7 +369,7 @@
         }
     }
 
-    /// A replica has promised a higher ballot.
+    /// Handles a rejection, whose sender has promised a higher ballot.
     pub(crate) fn handle_rejected(&mut self, slot: Slot, promised: Ballot) {
         self.proposals.observe_round(promised.round);
         if slot == self.learner.open_slot() {
--- a/crates/consensus/src/random.rs
+++ b/crates/consensus/src/random.rs
@@ -1,16 +1,16 @@
-//! Pseudo-random numbers: seeded, so that the same calls give the same datagrams.
+//! Seeded pseudo-random numbers, so that the same calls produce the same datagrams.
 
-/// A generator of one replica's own draws: Marsaglia's xorshift (2003).
+/// Pseudo-random number generator of one replica: xorshift (Marsaglia, 2003).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Random(u64);
 
 impl Random {
-    /// A generator of a seed. Its state must never be 0, so the lowest bit is set.
+    /// Creates a generator from a seed. The lowest bit is set because the state must never be 0.
     pub(crate) fn new(seed: u64) -> Random {
         Random(seed | 1)
     }
 
-    /// The next number.
+    /// Returns the next number.
     pub(crate) fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -19,8 +19,8 @@
     }
 }
 
-/// Maps a number that all replicas share to a draw that they share: the splitmix64 finalizer (Steele, Lea and Flood,
-/// 2014).
+/// Hashes a number that is the same at all replicas into a pseudo-random number that is also the same at all of them:
+/// the splitmix64 finalizer (Steele, Lea and Flood, 2014).
 pub(crate) fn splitmix64(number: u64) -> u64 {
     let mut draw = number;
     draw = (draw ^ (draw >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! The engine: which part of the replica takes a datagram in, what happens as time goes on, and what is sent.
+//! The replica: dispatches received datagrams, runs the periodic work, and collects outgoing datagrams and events.
 
 use std::collections::BTreeSet;
 
@@ -18,25 +18,25 @@
 use crate::voting::Votes;
 use crate::{Digest, Micros, ReplicaId, Slot};
 
-/// A datagram to send.
+/// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OutgoingDatagram {
-    /// The receiver.
+    /// The replica to send to.
     pub to: ReplicaId,
-    /// The datagram.
+    /// The encoded datagram.
     pub bytes: Vec<u8>,
 }
 
-/// One limiter as a member of the consensus group.
+/// One limiter's member of the consensus group.
 ///
-/// Each part of its state is a type in the module of the same concern, with the methods that keep it consistent.
+/// Each part of its state is a type of its own, in the module that also holds the replica's methods for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Replica {
     pub(crate) settings: Settings,
-    /// The latest time that a call gave. It never goes back.
+    /// The latest time passed to any call; it never decreases.
     pub(crate) now: Micros,
     next_round_at: Micros,
-    /// Rounds since its start; a round is one heartbeat interval.
+    /// Rounds since the start of the replica. A round is one heartbeat interval.
     pub(crate) rounds: u64,
     pub(crate) random: Random,
     pub(crate) documents: Documents,
@@ -44,7 +44,7 @@
     pub(crate) proposals: Proposals,
     pub(crate) learner: Learner,
     pub(crate) peers: Peers,
-    /// Peers whose last datagram came from the future of this replica's clock.
+    /// Peers whose latest datagram was sent in the future of this replica's clock.
     pub(crate) peers_ahead: BTreeSet<ReplicaId>,
     pub(crate) transfer: DocumentTransfer,
     pub(crate) status: ReplicaStatus,
@@ -53,11 +53,11 @@
 }
 
 impl Replica {
-    /// A replica that has just started. Without a snapshot it has lost its votes, unless `first` says that the whole
-    /// group starts for the first time.
+    /// Creates a replica that has just started. Without a snapshot it has lost its votes, unless `first` states that
+    /// the whole group starts for the first time.
     ///
     /// # Errors
-    /// Where the settings can't be used.
+    /// If the settings are invalid.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -88,7 +88,7 @@
         Ok(replica)
     }
 
-    /// Takes up what was kept across a restart.
+    /// Restores the state from before a restart.
     fn restore(&mut self, snapshot: Snapshot) {
         let Snapshot { acceptors, decided, value, active, active_document, documents, highest_round } =
             snapshot;
@@ -100,7 +100,7 @@
         self.proposals = Proposals::new(highest_round);
     }
 
-    /// What to keep where there is a disk.
+    /// Returns the state to be kept across a restart.
     pub fn snapshot(&self) -> Snapshot {
         let digests = self.documents_in_use();
         let documents = digests.iter().filter_map(|digest| self.documents.get(digest));
@@ -115,48 +115,50 @@
         }
     }
 
-    /// The active version, and its document (none before the first change).
+    /// Returns the active version and its document, which is `None` before the first change.
     pub fn active_version(&self) -> (Slot, Option<&[u8]>) {
         let document = self.learner.active_document().and_then(|digest| self.documents.get(&digest));
         (self.learner.active(), document)
     }
 
-    /// A document that is here and complete.
+    /// Returns a document if this replica has all of it.
     pub fn document(&self, digest: &Digest) -> Option<&[u8]> {
         self.documents.get(digest)
     }
 
-    /// The latest version that it knows to be decided, and what it was decided to be.
+    /// Returns the latest version that this replica knows to be decided, and its value.
     pub fn decided(&self) -> (Slot, Value) {
         (self.learner.decided(), self.learner.value())
     }
 
-    /// How far it may rely on the version that it knows.
+    /// Returns whether this replica may rely on the version that it knows.
     pub fn status(&self) -> ReplicaStatus {
         self.status
     }
 
-    /// What happened since the last call.
+    /// Returns the events since the last call of this method.
     pub fn take_events(&mut self) -> Vec<ReplicaEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Whether it has lost its votes and has not seen a majority since.
+    /// Whether this replica has lost its votes and has not seen a majority since. [`Replica::adopt`] ends this state.
     pub fn awaits_adoption(&self) -> bool {
         self.votes.are_lost()
     }
 
-    /// An operator says that the replicas that are left are to go on from the latest version that any of them knows:
-    /// one that has lost its votes votes from the next version on. Where a majority of the replicas has kept its votes,
-    /// this is never needed; where none has, what was decided beyond that version is lost.
+    /// Lets a replica that has lost its votes vote from the next version onward. An operator orders this to make the
+    /// remaining replicas go on from the latest version that any of them knows.
+    ///
+    /// This is never needed if a majority of the replicas has kept its votes. If no majority has, later versions that
+    /// were decided are lost.
     pub fn adopt(&mut self) {
         self.votes.allow_from(self.highest_accepted_anywhere() + 1);
     }
 
-    /// Takes a datagram in.
+    /// Handles a received datagram.
     ///
     /// # Errors
-    /// Says why it was dropped.
+    /// If the datagram cannot be decoded, or its sender is not a peer in the group.
     pub fn receive(&mut self, now: Micros, bytes: &[u8]) -> Result<(), DatagramError> {
         self.advance_clock(now);
         let Message { from, sent, body } = Message::decode(bytes)?;
@@ -179,7 +181,7 @@
         Ok(())
     }
 
-    /// Goes on to `now`; gives what is to be sent. Call it at least every round.
+    /// Advances the replica to `now` and returns the datagrams to send. Must be called at least once per round.
     pub fn tick(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         self.advance_clock(now);
         self.recover_votes();
@@ -197,7 +199,7 @@
         self.now = self.now.max(now);
     }
 
-    /// Brings what follows from the time and from datagrams up to date.
+    /// Updates the state that depends on the time and on received datagrams.
     fn update_state(&mut self) {
         self.activate_if_due();
         self.track_open_vote();
@@ -210,7 +212,7 @@
         self.send_heartbeats();
     }
 
-    /// Sends a message, as part of what the next [`Replica::tick`] gives.
+    /// Queues a message; the current or next [`Replica::tick`] returns it.
     pub(crate) fn send(&mut self, to: ReplicaId, body: Body) {
         let message = Message { from: self.settings.replica, sent: self.now, body };
         self.outgoing.push(OutgoingDatagram { to, bytes: message.encode() });
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,46 +1,47 @@
-//! A replica's settings, and the timeouts and rates that follow from them.
+//! Settings of a replica, and the timeouts and rates derived from them.
 
 use crate::error::SettingsError;
 use crate::{Micros, ReplicaId};
 
-/// The largest group of which all replicas were seen to be current; changes were measured up to 300.
+/// Maximum number of replicas in a group: the largest group in which all replicas were observed to be current. Changes
+/// were tested with up to 300 replicas.
 pub(crate) const MAX_REPLICAS: u16 = 1_100;
-/// A heartbeat that is lost must not end a lease: it holds for so many heartbeat intervals at least.
+/// Minimum length of a lease in heartbeat intervals, so that a lost heartbeat does not end it.
 const MIN_LEASE_INTERVALS: u64 = 4;
-/// Answers to a proposer may take one part of so many of the datagrams that its replica takes in.
+/// Answers to a proposer may use one in this many of the datagrams that its replica may receive.
 const VOTE_TRAFFIC_DIVISOR: u64 = 5;
-/// Rounds of an activation delay beyond those of its vote: for lost datagrams, and for the document.
+/// Rounds added to the two phases of a vote, for lost datagrams and the transfer of the document.
 const SPARE_ROUNDS: u64 = 6;
-/// Rounds of a ballot beyond those of its vote, after which other replicas take it over, each in its turn.
+/// Additional rounds that a proposer has to finish a ballot before other replicas take over the vote.
 const TAKEOVER_GRACE_ROUNDS: u64 = 4;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A replica's settings. All replicas of a group have the same, but for their own number.
+/// Settings of a replica. Apart from `replica`, they must be equal in the whole group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// This replica's number.
+    /// Number of this replica.
     pub replica: ReplicaId,
-    /// How many replicas the group has.
+    /// Number of replicas in the group.
     pub replicas: ReplicaId,
-    /// Time between heartbeats, microseconds: one round.
+    /// Time between heartbeats, which is the length of a round.
     pub heartbeat_interval: Micros,
-    /// Replicas to which each heartbeat goes; which ones is drawn anew every round.
+    /// Number of replicas that receive each heartbeat. They are selected anew every round.
     pub fanout: u16,
-    /// How old a majority's heartbeats may be.
+    /// Maximum age of a majority's heartbeats for the replica to rely on the version that it knows.
     pub lease: Micros,
-    /// How far two clocks may differ.
+    /// Maximum difference between the clocks of two replicas.
     pub max_clock_skew: Micros,
-    /// From a proposal to the activation of its change.
+    /// Time from the proposal of a change to its activation.
     pub activation_delay: Micros,
-    /// Datagrams that a replica takes in a second at most.
+    /// Maximum number of datagrams that a replica may receive per second.
     pub max_datagrams_per_second: u32,
 }
 
 impl Settings {
-    /// Checks the settings.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// Names the setting that can't be used, and what was expected.
+    /// Names the first invalid setting and the expected values.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.replicas == 0 || self.replicas > MAX_REPLICAS || self.replica >= self.replicas {
             return Err(SettingsError::InvalidReplicas);
@@ -63,35 +64,38 @@
         Ok(())
     }
 
-    /// How long a lease may outlast what it was granted on: nothing new is accepted closer to its activation, so that
-    /// every lease that covers the activation comes from replicas that know of the change.
+    /// Returns how long a lease may last after the state that it was granted on. New changes are not accepted closer to
+    /// their activation than this, so that every lease that covers the activation was granted on knowledge of the
+    /// change.
     pub(crate) fn lease_margin(&self) -> Micros {
         self.lease + self.max_clock_skew
     }
 
-    /// Replicas in a majority.
+    /// Returns the number of replicas that form a majority.
     pub(crate) fn quorum(&self) -> usize {
         usize::from(self.replicas) / 2 + 1
     }
 
-    /// Replicas that a proposer asks in a round: their answers are a part of what it takes in.
+    /// Returns how many replicas a proposer asks per round, so that their answers use a limited share of the datagrams
+    /// that its replica may receive.
     pub(crate) fn requests_per_round(&self) -> u64 {
         let datagrams =
             u64::from(self.max_datagrams_per_second) * self.heartbeat_interval / MICROS_PER_SECOND;
         (datagrams / VOTE_TRAFFIC_DIVISOR).max(1)
     }
 
-    /// Rounds that one phase of a vote takes where nothing is lost.
+    /// Returns the number of rounds that one phase of a vote takes if no datagram is lost.
     fn phase_rounds(&self) -> u64 {
         (self.quorum() as u64).div_ceil(self.requests_per_round())
     }
 
-    /// Rounds that a vote takes where nothing is lost: both of its phases, and its document.
+    /// Returns the number of rounds reserved for a vote: both of its phases, lost datagrams and the document.
     fn vote_rounds(&self) -> u64 {
         2 * self.phase_rounds() + SPARE_ROUNDS
     }
 
-    /// Time after which nobody is taken to work on a ballot any more: loss may take as long again.
+    /// Returns the time after which a ballot is considered abandoned. Both phases are counted twice, as lost datagrams
+    /// may double their duration.
     pub(crate) fn ballot_timeout(&self) -> Micros {
         let rounds = TAKEOVER_GRACE_ROUNDS + self.vote_rounds() + 2 * self.phase_rounds();
         rounds * self.heartbeat_interval
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps across a restart, in the form that a store holds.
+//! The state that a replica keeps across a restart, and its encoding.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,10 @@
 use crate::paxos::{Acceptor, Value};
 use crate::{Digest, Slot};
 
-/// What must survive a restart for a replica to vote as before: written before datagrams of the same call leave.
+/// The state that a replica needs after a restart to keep voting. It must be stored before the datagrams that the same
+/// call returned are sent.
 ///
-/// Postcard writes the fields in their order and without names, so the order is the format.
+/// Postcard encodes the fields in their order and without names, so the order defines the format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
     pub(crate) acceptors: BTreeMap<Slot, Acceptor>,
@@ -22,12 +23,12 @@
 }
 
 impl Snapshot {
-    /// Its bytes, for a disk.
+    /// Encodes the snapshot for storage.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("it holds nothing that can't be encoded")
+        postcard::to_stdvec(self).expect("a snapshot can be encoded")
     }
 
-    /// A snapshot out of bytes; `None` for what is none.
+    /// Decodes a snapshot; `None` if the bytes are not a valid one.
     pub fn decode(bytes: &[u8]) -> Option<Snapshot> {
         postcard::from_bytes(bytes).ok()
     }
