--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -58,8 +58,8 @@
         last_seen.saturating_add(self.settings.lease)
     }
 
-    /// Returns the end of the lease in view of an open vote: the earliest time at which the version that is voted on can
-    /// be activated, a lease margin after a majority was last idle.
+    /// Returns the end of the lease in view of an open vote: the earliest time at which the version that is voted on
+    /// can be activated, a lease margin after a majority was last idle.
     fn lease_end_by_open_vote(&self) -> Micros {
         if !self.has_open_vote() {
             return Micros::MAX;
@@ -103,8 +103,8 @@
         times.get(self.settings.quorum() - 1).copied()
     }
 
-    /// Records whether a sender's clock is ahead of this replica's by more than the maximum skew. A clock that is behind
-    /// cannot be detected, as its datagrams look like delayed ones.
+    /// Records whether a sender's clock is ahead of this replica's by more than the maximum skew. A clock that is
+    /// behind cannot be detected, as its datagrams look like delayed ones.
     pub(crate) fn check_clock(&mut self, from: ReplicaId, sent: Micros) {
         if sent > self.now + self.settings.max_clock_skew {
             self.peers_ahead.insert(from);
@@ -132,8 +132,8 @@
         if !self.has_open_vote() {
             return ReplicaStatus::Current;
         }
-        // The version that is voted on was not decided while a majority was idle, so the earliest time of its activation
-        // is a lease margin after that.
+        // The version that is voted on was not decided while a majority was idle, so it is activated no earlier than
+        // a lease margin after that.
         let last_idle = self.last_idle_quorum(self.now);
         if last_idle.is_some_and(|at| self.now < at + self.settings.lease_margin()) {
             ReplicaStatus::Current
--- a/crates/consensus/src/message/tests.rs
+++ b/crates/consensus/src/message/tests.rs
@@ -1,13 +1,15 @@
-//! Datagrams byte for byte as earlier releases send and read them: during an upgrade limiters of both run in one tier.
+//! Compatibility of datagrams with earlier releases, byte for byte: during an upgrade, limiters of both releases run in
+//! one tier.
 
 use super::*;
 
-/// A line for each datagram: its name, and its bytes in hex digits.
+/// One line per datagram: its name and its bytes in hex digits.
 const RECORDED: &str = include_str!("fixtures/datagrams.txt");
 
 const FIRST_DOCUMENT: Digest = Digest([0xa0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 0xaf]);
 const SECOND_DOCUMENT: Digest = Digest([0x5c; 16]);
-const MOMENT: Micros = 1_764_700_000_123_456;
+/// Time at which all messages are sent.
+const SENT: Micros = 1_764_700_000_123_456;
 
 fn recorded(name: &str) -> Vec<u8> {
     let line = RECORDED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
@@ -18,7 +20,7 @@
 }
 
 fn message(body: Body) -> Message {
-    Message { from: 300, sent: MOMENT, body }
+    Message { from: 300, sent: SENT, body }
 }
 
 fn heartbeats() -> [(&'static str, Message); 2] {
@@ -34,7 +36,7 @@
     let later = Body::Heartbeat(Heartbeat {
         highest_accepted: 18,
         decided: 17,
-        value: Value::Change { digest: FIRST_DOCUMENT, at: MOMENT + 6_000_000 },
+        value: Value::Change { digest: FIRST_DOCUMENT, at: SENT + 6_000_000 },
         is_active: true,
         has_lost_votes: false,
         first: 290,
@@ -51,7 +53,7 @@
     let slot = 18;
     let ballot = Ballot { round: 70_000, replica: 300 };
     let earlier = Ballot { round: 3, replica: 129 };
-    let change = Value::Change { digest: SECOND_DOCUMENT, at: MOMENT };
+    let change = Value::Change { digest: SECOND_DOCUMENT, at: SENT };
     let void = Value::Void { keeps: Some(FIRST_DOCUMENT) };
     let bodies = [
         ("prepare-void", Body::Prepare { slot, ballot, document: None }),
@@ -80,9 +82,9 @@
 }
 
 #[test]
-fn datagrams_of_every_kind_are_written_and_read_as_recorded() {
+fn datagrams_of_every_kind_match_recorded_bytes() {
     let messages: Vec<_> = heartbeats().into_iter().chain(votes()).chain(documents()).collect();
-    assert_eq!(RECORDED.lines().count(), messages.len(), "each recorded datagram is compared");
+    assert_eq!(RECORDED.lines().count(), messages.len(), "every recorded datagram must be compared");
     for (name, message) in messages {
         assert_eq!(message.encode(), recorded(name), "{name}");
         assert_eq!(Message::decode(&recorded(name)).as_ref(), Ok(&message), "{name}");
--- a/crates/consensus/src/paxos/proposer/tests.rs
+++ b/crates/consensus/src/paxos/proposer/tests.rs
@@ -1,4 +1,4 @@
-//! A proposer alone: which value its ballot settles on, and when.
+//! Tests of the proposer: which value its ballot proposes, and when the value is decided.
 
 use super::*;
 use crate::Digest;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_own_value_is_proposed_where_a_quorum_has_accepted_none() {
+fn own_value_is_proposed_if_a_quorum_has_accepted_none() {
     let mut proposer = proposer(&[]);
     proposer.record_promise(0, None, QUORUM);
     assert!(proposer.is_preparing());
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_value_of_the_highest_ballot_is_proposed_where_any_was_accepted() {
+fn value_accepted_in_the_highest_ballot_is_proposed() {
     let mut proposer = proposer(&[]);
     proposer.record_promise(1, accepted_in(4, change(2)), 3);
     proposer.record_promise(0, accepted_in(3, change(3)), 3);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn nothing_is_accepted_before_each_required_replica_has_promised() {
+fn second_phase_waits_for_promises_of_required_replicas() {
     let mut proposer = proposer(&[2]);
     proposer.record_promise(0, None, QUORUM);
     proposer.record_promise(1, None, QUORUM);
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn a_value_is_decided_by_a_quorum_of_different_replicas() {
+fn decision_needs_a_quorum_of_distinct_replicas() {
     let mut proposer = proposer(&[]);
-    assert_eq!(proposer.record_acceptance(1, QUORUM), None, "it still collects promises");
+    assert_eq!(proposer.record_acceptance(1, QUORUM), None, "acceptance before the second phase");
     proposer.record_promise(0, None, QUORUM);
     proposer.record_promise(1, None, QUORUM);
     assert_eq!(proposer.record_acceptance(1, QUORUM), None);
-    assert_eq!(proposer.record_acceptance(1, QUORUM), None, "the same replica again");
+    assert_eq!(proposer.record_acceptance(1, QUORUM), None, "repeated acceptance of the same replica");
     assert_eq!(proposer.record_acceptance(2, QUORUM), Some(change(1)));
 }
--- a/crates/consensus/src/peers/tests.rs
+++ b/crates/consensus/src/peers/tests.rs
@@ -1,9 +1,9 @@
-//! What is known of peers, by reports in any order.
+//! Tests of the known state of peers, with reports in any order.
 
 use super::*;
 
 #[test]
-fn an_earlier_report_that_comes_late_changes_nothing() {
+fn delayed_earlier_report_changes_nothing() {
     let mut peers = Peers::new(3);
     peers.record(1, 2_000, 4, 4);
     let before = peers.clone();
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_peer_is_idle_again_once_the_slot_that_it_accepted_in_is_decided() {
+fn peer_is_idle_again_after_its_accepted_slot_is_decided() {
     let mut peers = Peers::new(3);
     peers.record(1, 1_000, 4, 4);
     peers.record(1, 2_000, 5, 4);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_observation_says_nothing_where_it_would_not_fit_or_the_peer_is_ahead() {
+fn observation_is_unknown_if_it_does_not_fit_or_the_peer_is_ahead() {
     let mut peers = Peers::new(4);
     peers.record(1, 100 * AGE_STEP, 7, 7);
     let observation = |replica, now, own_highest| peers.observation(replica, now, own_highest);
--- a/crates/consensus/src/replica/tests.rs
+++ b/crates/consensus/src/replica/tests.rs
@@ -1,4 +1,4 @@
-//! Cases of one replica and the datagrams that it is sent.
+//! Tests of a single replica and the datagrams that it receives.
 
 use super::*;
 use crate::message::Heartbeat;
@@ -17,11 +17,11 @@
         activation_delay: 6_000_000,
         max_datagrams_per_second: 40,
     };
-    Replica::new(settings, 1, None, true).expect("in order")
+    Replica::new(settings, 1, None, true).expect("the settings are valid")
 }
 
 fn receive(replica: &mut Replica, now: Micros, from: ReplicaId, body: Body) {
-    replica.receive(now, &Message { from, sent: now, body }.encode()).expect("it is heard");
+    replica.receive(now, &Message { from, sent: now, body }.encode()).expect("the datagram is valid");
 }
 
 fn heartbeat(decided: Slot, value: Value) -> Body {
@@ -36,30 +36,33 @@
     })
 }
 
-/// The bodies of what a member sends in the rounds up to a moment.
+/// Returns the bodies of the messages that a replica sends in the rounds from `from` until `until`.
 fn sent(replica: &mut Replica, from: Micros, until: Micros) -> Vec<Body> {
     let rounds = (from..until).step_by(ROUND as usize);
-    let out: Vec<OutgoingDatagram> = rounds.flat_map(|now| replica.tick(now)).collect();
-    out.iter().map(|o| Message::decode(&o.bytes).expect("its own").body).collect()
+    let outgoing: Vec<OutgoingDatagram> = rounds.flat_map(|now| replica.tick(now)).collect();
+    outgoing.iter().map(|o| Message::decode(&o.bytes).expect("the replica sent it").body).collect()
 }
 
+/// A vote needs a document that no replica has any more. The document of the decided version must still be requested.
 #[test]
-fn a_document_that_is_gone_with_its_proposer_does_not_hide_the_decided_one() {
+fn lost_document_of_a_proposal_does_not_block_the_decided_one() {
     let (mut replica, now) = (replica(), 10 * ROUND);
-    let (gone, made) = (Digest([1; 16]), Digest([2; 16]));
+    let (lost, decided) = (Digest([1; 16]), Digest([2; 16]));
     let ballot = Ballot { round: 1, replica: 1 };
-    receive(&mut replica, now, 1, Body::Prepare { slot: 1, ballot, document: Some(gone) });
-    receive(&mut replica, now, 2, heartbeat(1, Value::Change { digest: made, at: now + 1 }));
+    receive(&mut replica, now, 1, Body::Prepare { slot: 1, ballot, document: Some(lost) });
+    receive(&mut replica, now, 2, heartbeat(1, Value::Change { digest: decided, at: now + 1 }));
     let bodies = sent(&mut replica, now + ROUND, now + 20 * ROUND);
-    let asks = bodies
+    let requests = bodies
         .iter()
-        .filter(|b| matches!(b, Body::DocumentRequest { digest, .. } if *digest == made))
+        .filter(|b| matches!(b, Body::DocumentRequest { digest, .. } if *digest == decided))
         .count();
-    assert!(asks >= 10, "{bodies:?}");
+    assert!(requests >= 10, "{bodies:?}");
 }
 
+/// A proposal is rejected because of a higher ballot, whose proposer then dies before any value was accepted. The
+/// replica must start another ballot, or its operator would never get an answer.
 #[test]
-fn a_change_that_was_passed_by_one_that_died_is_ended_for_its_operator() {
+fn proposal_superseded_by_a_dead_proposer_is_resumed() {
     let (mut replica, now) = (replica(), 10 * ROUND);
     for from in [1, 2] {
         receive(&mut replica, now, from, heartbeat(0, Value::Void { keeps: None }));
@@ -68,27 +71,27 @@
     assert_eq!(replica.propose(now, b"a change".to_vec(), 0), Ok(1));
     let ballot = Ballot { round: 9, replica: 1 };
     receive(&mut replica, now, 2, Body::Rejected { slot: 1, ballot });
-    // Nobody has accepted anything, and the other ballot's member says nothing more.
-    let mut again = None;
+    // No replica has accepted a value, and the proposer of the other ballot sends no requests.
+    let mut resumed = None;
     for n in 1..60 {
         let at = now + n * ROUND;
         for from in [1, 2] {
             receive(&mut replica, at, from, heartbeat(0, Value::Void { keeps: None }));
         }
         let bodies = sent(&mut replica, at, at + 1);
-        let own = |b: &Body| matches!(b, Body::Prepare { ballot, .. } if ballot.round > 9);
-        again = again.or(bodies.iter().any(own).then_some(n));
+        let is_new_ballot = |b: &Body| matches!(b, Body::Prepare { ballot, .. } if ballot.round > 9);
+        resumed = resumed.or(bodies.iter().any(is_new_ballot).then_some(n));
     }
-    assert!(again.is_some(), "it takes its own change up again");
+    assert!(resumed.is_some(), "the replica must start a higher ballot");
 }
 
 #[test]
-fn a_decided_version_ends_the_vote_for_peers_that_accepted_nothing_above_it() {
+fn decision_makes_peers_idle_that_accepted_nothing_above_it() {
     let (mut replica, now) = (replica(), 10 * ROUND);
     let void = Value::Void { keeps: None };
-    let Body::Heartbeat(idle) = heartbeat(0, void) else { unreachable!("it is a heartbeat") };
+    let Body::Heartbeat(idle) = heartbeat(0, void) else { unreachable!("heartbeat() returns a heartbeat") };
     receive(&mut replica, now, 1, Body::Heartbeat(Heartbeat { highest_accepted: 1, ..idle }));
-    assert_eq!(replica.peers.last_idle_times().count(), 0, "it has accepted a value in the open slot");
+    assert_eq!(replica.peers.last_idle_times().count(), 0, "the peer has accepted a value in the open slot");
     receive(&mut replica, now + 1, 2, heartbeat(1, void));
     assert_eq!(replica.decided(), (1, void));
     assert_eq!(replica.peers.last_idle_times().collect::<Vec<_>>(), [now, now + 1]);
--- a/crates/consensus/src/snapshot/tests.rs
+++ b/crates/consensus/src/snapshot/tests.rs
@@ -1,11 +1,12 @@
-//! A snapshot byte for byte as earlier releases keep it: a limiter that is upgraded must vote as before.
+//! Compatibility of snapshots with earlier releases, byte for byte: an upgraded limiter must keep its votes.
 
 use super::*;
 use crate::paxos::{AcceptedValue, Ballot};
 use crate::{Micros, Replica, ReplicaId, Settings};
 
 const RECORDED: &[u8] = include_bytes!("fixtures/snapshot.bin");
-const MOMENT: Micros = 1_764_700_000_123_456;
+/// Activation of the decided version.
+const ACTIVATION: Micros = 1_764_700_000_123_456;
 const SERVED: &[u8] = b"plan \"basico\" {\n  rate = 1.6\n}\n";
 const PROPOSED: &[u8] = b"plan \"basico\" {\n  rate = 2.5\n}\n";
 
@@ -22,14 +23,15 @@
     }
 }
 
-/// Version 4 is decided and active; 3 was voided, version 5 is open, and version 6 was promised to a ballot alone.
+/// Version 4 is decided and active. Version 3 was void, a value was accepted for version 5, and for version 6 a ballot
+/// was only promised.
 fn snapshot() -> Snapshot {
     let [served, proposed] = [SERVED, PROPOSED].map(Digest::of);
-    let decided = Value::Change { digest: served, at: MOMENT };
+    let decided = Value::Change { digest: served, at: ACTIVATION };
     let ballot = |round, replica: ReplicaId| Ballot { round, replica };
     let accepted = |ballot, value| Some(AcceptedValue { ballot, value });
     let acceptor = |promised, accepted| Acceptor { promised, accepted };
-    let open = Value::Change { digest: proposed, at: MOMENT + 6_000_000 };
+    let open = Value::Change { digest: proposed, at: ACTIVATION + 6_000_000 };
     let acceptors = [
         (3, acceptor(ballot(2, 0), accepted(ballot(2, 0), Value::Void { keeps: Some(served) }))),
         (4, acceptor(ballot(3, 2), accepted(ballot(3, 2), decided))),
@@ -50,19 +52,19 @@
 }
 
 #[test]
-fn a_snapshot_is_written_and_read_as_recorded() {
+fn snapshot_matches_recorded_bytes() {
     assert_eq!(snapshot().encode(), RECORDED);
     assert_eq!(Snapshot::decode(RECORDED), Some(snapshot()));
 }
 
 #[test]
-fn a_replica_started_from_a_recorded_snapshot_is_as_before() {
+fn recorded_snapshot_restores_a_replica() {
     let recorded = Snapshot::decode(RECORDED);
-    let replica = Replica::new(settings(), 7, recorded, false).expect("the settings are in order");
-    let decided = Value::Change { digest: Digest::of(SERVED), at: MOMENT };
+    let replica = Replica::new(settings(), 7, recorded, false).expect("the settings are valid");
+    let decided = Value::Change { digest: Digest::of(SERVED), at: ACTIVATION };
     assert_eq!(replica.active_version(), (4, Some(SERVED)));
     assert_eq!(replica.decided(), (4, decided));
     assert_eq!(replica.document(&Digest::of(PROPOSED)), Some(PROPOSED));
-    assert!(!replica.awaits_adoption(), "it has its votes");
+    assert!(!replica.awaits_adoption(), "the snapshot contains the votes");
     assert_eq!(replica.snapshot().encode(), RECORDED);
 }
--- a/crates/consensus/tests/determinism.rs
+++ b/crates/consensus/tests/determinism.rs
@@ -1,14 +1,15 @@
-//! The same calls give the same datagrams, events and snapshots, to the byte and in the same order, in every release.
+//! Determinism across releases: the same calls must produce the same datagrams, events and snapshots, byte for byte and
+//! in the same order.
 //!
-//! Guards the order of random draws and of datagrams: simulated results of two releases can only be compared where
-//! neither moves. A change of the protocol records new digests and says why.
+//! The tests fix the order of random draws and of datagrams, without which simulated results of two releases cannot be
+//! compared. A change of the protocol has to record new digests and give the reason.
 
 #[allow(dead_code)]
 mod tier;
 
 use tier::{DatagramDigest, Tier, MS};
 
-/// Everything that the replicas of a tier sent, then their events, leases and snapshots.
+/// Returns a digest of all datagrams that the replicas of a tier sent, and of their events, leases and snapshots.
 fn digest(tier: &Tier) -> DatagramDigest {
     let mut digest = tier.datagrams;
     for events in &tier.events {
@@ -23,13 +24,13 @@
     digest
 }
 
-/// Competing proposals, a replica that is cut off, one that restarts without its votes, one with its snapshot, a
-/// proposer that dies before its change is decided, and a clock that is set back.
-fn eventful(seed: u64) -> Tier {
+/// Runs a tier with competing proposals, a replica that is cut off, one that restarts without its votes, one that
+/// restarts with its snapshot, a proposer that dies before its change is decided, and a clock that is set back.
+fn run_with_faults(seed: u64) -> Tier {
     let mut tier = Tier::new(5, 0.15, seed);
     tier.run(4_000);
-    tier.propose(0, &[7; 1_500]).expect("the tier is calm");
-    tier.propose(3, &[9; 4_000]).expect("the tier is calm");
+    tier.propose(0, &[7; 1_500]).expect("the proposal is accepted");
+    tier.propose(3, &[9; 4_000]).expect("the proposal is accepted");
     tier.run(15_000);
     tier.kill(1);
     tier.run(500);
@@ -50,8 +51,8 @@
 }
 
 #[test]
-fn a_tier_of_5_sends_what_it_sent_in_earlier_releases() {
-    let digests = [1, 2, 3, 4, 5, 6].map(|seed| digest(&eventful(seed)));
+fn tier_of_5_with_faults_matches_recorded_digests() {
+    let digests = [1, 2, 3, 4, 5, 6].map(|seed| digest(&run_with_faults(seed)));
     let recorded = [
         (2_877, 3_129_933_976_985_310_412),
         (2_781, 12_625_019_840_753_732_783),
@@ -65,29 +66,29 @@
 }
 
 #[test]
-fn a_tier_of_30_sends_what_it_sent_in_earlier_releases() {
+fn tier_of_30_matches_recorded_digest() {
     let mut tier = Tier::new(30, 0.3, 11);
     tier.run(10_000);
-    tier.propose(0, &[7; 1_500]).expect("the tier is calm");
+    tier.propose(0, &[7; 1_500]).expect("the proposal is accepted");
     tier.run(40_000);
-    tier.propose(17, &[8; 3_000]).expect("the tier is calm");
+    tier.propose(17, &[8; 3_000]).expect("the proposal is accepted");
     tier.run(300);
     tier.kill(17);
     tier.run(35_000);
     assert_eq!(digest(&tier), DatagramDigest { count: 21_694, hash: 15_751_336_100_284_907_355 });
 }
 
-/// Larger than one heartbeat describes: each heartbeat carries observations of the next part of the replicas.
+/// The tier has more replicas than one heartbeat can describe, so each heartbeat carries observations of some of them.
 #[test]
-fn a_tier_of_120_sends_what_it_sent_in_earlier_releases() {
+fn tier_of_120_matches_recorded_digest() {
     let mut tier = Tier::new(120, 0.05, 12);
     tier.run(20_000);
-    tier.propose(0, &[7; 600]).expect("the tier is calm");
+    tier.propose(0, &[7; 600]).expect("the proposal is accepted");
     tier.run(20_000);
     assert_eq!(digest(&tier), DatagramDigest { count: 39_361, hash: 10_046_429_551_438_450_184 });
 }
 
-/// Lets time go on, and takes up each replica's lease and status every heartbeat interval.
+/// Runs a tier and adds each replica's lease and status to the digest every heartbeat interval.
 fn run_with_leases(tier: &mut Tier, millis: u64) {
     for _ in 0..millis / 250 {
         tier.run(250);
@@ -101,18 +102,18 @@
     }
 }
 
-/// More is lost than a proposer makes up for by asking more replicas.
+/// The loss is higher than a proposer can compensate for by asking more replicas per round.
 #[test]
-fn a_tier_of_30_under_heavy_loss_sends_what_it_sent_in_earlier_releases() {
+fn tier_of_30_under_heavy_loss_matches_recorded_digest() {
     let mut tier = Tier::new(30, 0.7, 13);
     tier.run(15_000);
-    tier.propose(0, &[7; 200]).expect("the tier is calm");
+    tier.propose(0, &[7; 200]).expect("the proposal is accepted");
     tier.run(60_000);
     assert_eq!(digest(&tier), DatagramDigest { count: 19_438, hash: 5_715_903_315_217_071_719 });
 }
 
 #[test]
-fn leases_last_as_long_as_in_earlier_releases() {
+fn leases_match_recorded_digest() {
     let mut tier = Tier::new(5, 0.3, 14);
     tier.run(3_000);
     for round in 0..8 {
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -1,4 +1,4 @@
-//! Faults of network, clocks and processes in virtual time.
+//! Simulated tiers in virtual time, with faults of the network, clocks and processes.
 
 mod tier;
 
@@ -7,30 +7,31 @@
 };
 use tier::{Tier, MS, STEP};
 
-const BIG: &[u8] = &[7; 1_500];
+/// A document of several chunks.
+const LARGE_DOCUMENT: &[u8] = &[7; 1_500];
 
 #[test]
-fn a_change_is_activated_everywhere_at_one_moment() {
+fn change_is_activated_by_all_replicas_at_the_same_time() {
     for seed in 0..20 {
         let mut tier = Tier::new(3, 0.08, seed);
         tier.run(3_000);
-        assert_eq!(tier.propose(0, BIG), Ok(1));
+        assert_eq!(tier.propose(0, LARGE_DOCUMENT), Ok(1));
         tier.run(8_000);
         assert_eq!(tier.active_versions(), [1, 1, 1], "seed {seed}");
-        assert_eq!(tier.active_document(2), Some(Digest::of(BIG)));
+        assert_eq!(tier.active_document(2), Some(Digest::of(LARGE_DOCUMENT)));
         assert!(tier.longest_mixed() <= 2 * STEP, "{} us, seed {seed}", tier.longest_mixed());
     }
 }
 
 #[test]
-fn a_replica_cut_off_for_30_s_catches_up_during_the_next_change() {
+fn replica_cut_off_for_30_s_catches_up_during_the_next_change() {
     let mut tier = Tier::new(3, 0.05, 4);
     tier.run(2_000);
     tier.partitions[2] = 1;
     assert_eq!(tier.propose(0, b"first"), Ok(1));
     tier.run(30_000);
     assert_eq!(tier.active_versions(), [1, 1, 0]);
-    let cut_off = tier.replicas[2].as_ref().expect("it runs");
+    let cut_off = tier.replicas[2].as_ref().expect("the replica is running");
     assert_eq!(cut_off.status(), ReplicaStatus::Detached);
     assert_eq!(tier.propose(1, b"second"), Ok(2));
     tier.run(1_000);
@@ -41,19 +42,19 @@
 }
 
 #[test]
-fn a_change_whose_proposer_dies_is_finished_or_voided_by_the_others() {
+fn vote_of_a_dead_proposer_is_finished_by_the_others() {
     for wait in [5, 30, 60, 150, 300, 600, 1_500, 4_000] {
         for seed in 0..6 {
             let mut tier = Tier::new(3, 0.1, seed);
             tier.run(3_000);
-            tier.propose(0, b"a change").expect("the tier is calm");
+            tier.propose(0, b"a change").expect("the proposal is accepted");
             tier.run(wait);
             tier.kill(0);
             tier.run(25_000);
             let versions = tier.active_versions();
             assert_eq!(versions[0], versions[1], "after {wait} ms, seed {seed}");
             assert!(tier.longest_mixed_current() <= 2 * STEP, "{} us", tier.longest_mixed_current());
-            // Whatever became of it, the next change is made.
+            // The next change becomes active, whether the first was decided or not.
             assert!(tier.propose(1, b"another").is_ok(), "after {wait} ms, seed {seed}: {:?}", tier.events);
             tier.run(8_000);
             assert_eq!(tier.active_document(2), Some(Digest::of(b"another")));
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn of_two_changes_proposed_at_once_one_is_made_and_the_other_is_reported_lost() {
+fn one_of_two_simultaneous_proposals_is_reported_lost() {
     for seed in 0..20 {
         let mut tier = Tier::new(5, 0.1, seed);
         tier.run(3_000);
@@ -77,29 +78,29 @@
             .flatten()
             .filter(|event| matches!(event, ReplicaEvent::ProposalLost { slot: 1 }))
             .count();
-        let made = tier.documents.len();
-        assert_eq!(made + lost, 2, "seed {seed}: {:?}", tier.events);
+        let activated = tier.documents.len();
+        assert_eq!(activated + lost, 2, "seed {seed}: {:?}", tier.events);
     }
 }
 
 #[test]
-fn a_change_of_a_version_that_is_no_longer_current_is_rejected() {
+fn change_based_on_an_earlier_version_is_rejected() {
     let mut tier = Tier::new(3, 0.0, 1);
     tier.run(2_000);
-    tier.propose(0, b"one").expect("calm");
+    tier.propose(0, b"one").expect("the proposal is accepted");
     tier.run(7_000);
     let clock = tier.clock(1);
-    let replica = tier.replicas[1].as_mut().expect("it runs");
+    let replica = tier.replicas[1].as_mut().expect("the replica is running");
     let proposed = replica.propose(clock, b"two".to_vec(), 0);
     assert_eq!(proposed, Err(ProposeError::StaleParent { parent: 0, current: 1 }));
 }
 
 #[test]
-fn a_minority_decides_nothing_and_is_detached() {
+fn minority_decides_nothing_and_is_detached() {
     let mut tier = Tier::new(5, 0.05, 9);
     tier.run(3_000);
     tier.partitions = vec![1, 1, 0, 0, 0];
-    // Until its lease ends it may propose a change; it can't be decided.
+    // Until its lease ends the replica may propose a change, but the change cannot be decided.
     let _ = tier.propose(0, b"of the minority");
     tier.run(4_000);
     assert_eq!(tier.replicas[0].as_ref().map(Replica::status), Some(ReplicaStatus::Detached));
@@ -114,51 +115,51 @@
 }
 
 #[test]
-fn a_change_that_requires_a_replica_that_is_down_is_given_up_and_names_it() {
+fn change_is_abandoned_if_a_required_replica_is_down() {
     let mut tier = Tier::new(3, 0.0, 3);
     tier.run(3_000);
     tier.kill(2);
     let clock = tier.clock(0);
-    let proposer = tier.replicas[0].as_mut().expect("it runs");
+    let proposer = tier.replicas[0].as_mut().expect("the replica is running");
     assert_eq!(proposer.propose_requiring(clock, b"for all".to_vec(), 0, [2].into()), Ok(1));
     tier.run(20_000);
     let unanswered = ReplicaEvent::ProposalUnanswered { slot: 1, replicas: vec![2] };
     assert!(tier.events[0].contains(&unanswered), "{:?}", tier.events[0]);
     assert!(tier.events[0].contains(&ReplicaEvent::ProposalLost { slot: 1 }), "{:?}", tier.events[0]);
-    // The version is decided to change nothing, so the next change can be made.
+    // A void value is decided for the version, so the next change can be proposed.
     assert_eq!(tier.active_versions(), [1, 1]);
     assert_eq!(tier.active_document(0), None);
     assert_eq!(tier.propose(1, b"for a majority"), Ok(2));
 }
 
 #[test]
-fn clocks_200_ms_apart_mix_versions_for_no_longer_than_that() {
+fn versions_overlap_no_longer_than_clocks_differ() {
     let mut tier = Tier::new(3, 0.08, 2);
     tier.clocks = vec![-100 * MS as i64, 0, 100 * MS as i64];
     tier.run(3_000);
-    tier.propose(1, b"a change").expect("calm");
+    tier.propose(1, b"a change").expect("the proposal is accepted");
     tier.run(9_000);
     assert_eq!(tier.active_versions(), [1, 1, 1]);
     assert!(tier.longest_mixed() <= 200 * MS + 2 * STEP, "{} us", tier.longest_mixed());
 }
 
 #[test]
-fn a_replica_whose_clock_is_behind_its_peers_is_detached() {
+fn replica_whose_clock_is_behind_its_peers_is_detached() {
     let mut tier = Tier::new(3, 0.0, 2);
     tier.run(3_000);
     tier.clocks[2] = -5_000 * MS as i64;
     tier.run(8_000);
-    // Both peers' datagrams come from its future.
+    // Both peers' datagrams were sent in the future of this replica's clock.
     assert_eq!(tier.replicas[2].as_ref().map(Replica::status), Some(ReplicaStatus::Detached));
     assert_eq!(tier.replicas[0].as_ref().map(Replica::status), Some(ReplicaStatus::Current));
 }
 
 #[test]
-fn a_replica_that_restarts_without_its_votes_casts_none_twice() {
+fn replica_that_restarts_without_its_votes_does_not_vote_twice() {
     for seed in 0..30 {
         let mut tier = Tier::new(3, 0.1, seed);
         tier.run(3_000);
-        tier.propose(0, b"one").expect("calm");
+        tier.propose(0, b"one").expect("the proposal is accepted");
         tier.run(seed * 40);
         tier.kill(1);
         tier.run(300);
@@ -171,15 +172,15 @@
 }
 
 #[test]
-fn a_restart_with_a_snapshot_serves_what_it_served_and_votes_at_once() {
+fn replica_restarted_with_a_snapshot_keeps_its_version_and_votes_at_once() {
     let mut tier = Tier::new(3, 0.0, 5);
     tier.run(3_000);
-    tier.propose(0, BIG).expect("calm");
+    tier.propose(0, LARGE_DOCUMENT).expect("the proposal is accepted");
     tier.run(8_000);
     let snapshot = tier.kill(2);
     tier.run(1_000);
     tier.restart(2, snapshot);
-    assert_eq!(tier.active_document(2), Some(Digest::of(BIG)));
+    assert_eq!(tier.active_document(2), Some(Digest::of(LARGE_DOCUMENT)));
     tier.kill(1);
     tier.run(3_000);
     assert!(tier.propose(0, b"two of three are enough").is_ok());
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn a_replica_without_its_votes_proposes_nothing_that_it_may_not_vote_on() {
+fn replica_without_its_votes_may_not_propose() {
     let mut tier = Tier::new(3, 0.0, 5);
     tier.run(3_000);
     tier.kill(2);
@@ -198,35 +199,35 @@
     assert_eq!(tier.propose(0, b"with votes"), Ok(1));
     tier.run(8_000);
     assert_eq!(tier.active_versions(), [1, 1, 1]);
-    // Two versions above all that its peers had accepted it votes again.
+    // The replica may vote again two versions above all that its peers had accepted.
     assert_eq!(tier.propose(2, b"without votes"), Ok(2));
 }
 
 #[test]
-fn a_rollback_is_a_change_like_any_other() {
+fn earlier_document_can_be_proposed_again() {
     let mut tier = Tier::new(3, 0.08, 6);
     tier.run(3_000);
-    tier.propose(0, b"good").expect("calm");
+    tier.propose(0, b"good").expect("the proposal is accepted");
     tier.run(8_000);
-    tier.propose(1, b"bad").expect("calm");
+    tier.propose(1, b"bad").expect("the proposal is accepted");
     tier.run(8_000);
-    // Rolled back at another replica than the one that proposed it.
-    tier.propose(2, b"good").expect("calm");
+    // Another replica than the proposer of the bad version rolls it back.
+    tier.propose(2, b"good").expect("the proposal is accepted");
     tier.run(8_000);
     assert_eq!(tier.active_versions(), [3, 3, 3]);
     assert_eq!(tier.active_document(0), Some(Digest::of(b"good")));
 }
 
-/// Tiers of many sizes at many losses: the datagrams received stay within what a replica takes in, and two current
-/// replicas never serve different versions.
+/// In tiers of several sizes and losses, no replica receives more datagrams than allowed, and no two current replicas
+/// serve different versions.
 #[test]
-fn many_tiers_keep_their_guarantees_and_the_budget() {
+fn guarantees_and_datagram_rate_hold_for_many_tiers() {
     for (replicas, losses) in [(3, vec![0.0, 0.08, 0.2, 0.5]), (10, vec![0.08, 0.2]), (40, vec![0.08])] {
         for loss in losses {
             for seed in 0..4 {
                 let mut tier = Tier::new(replicas, loss, seed);
                 tier.run(6_000);
-                let proposed = tier.propose(seed as usize % 3, BIG);
+                let proposed = tier.propose(seed as usize % 3, LARGE_DOCUMENT);
                 tier.run(25_000);
                 assert!(
                     tier.longest_mixed_current() <= 2 * STEP,
@@ -247,26 +248,27 @@
     }
 }
 
-/// A ballot goes on through loss: nobody asks all replicas again, and a document comes from all that have a part of it.
+/// A ballot continues under loss without asking all replicas again, and a document is assembled from the chunks of all
+/// replicas that have some.
 #[test]
-fn a_change_is_made_at_30_limiters_though_half_of_all_datagrams_are_lost() {
+fn change_becomes_active_at_30_limiters_with_half_of_datagrams_lost() {
     for seed in 0..4 {
         let mut tier = Tier::new(30, 0.5, seed);
         tier.run(10_000);
-        assert_eq!(tier.propose(0, BIG), Ok(1), "seed {seed}");
+        assert_eq!(tier.propose(0, LARGE_DOCUMENT), Ok(1), "seed {seed}");
         tier.run(40_000);
         assert!(tier.active_versions().iter().all(|v| *v == 1), "seed {seed}: {:?}", tier.active_versions());
         assert!(tier.longest_mixed_current() <= 2 * STEP && tier.busiest_second <= 40, "seed {seed}");
     }
 }
 
-/// The size is bounded by the activation delay that its votes take; the error names the least that would do.
+/// The activation delay must allow for a vote of all replicas, and the error names the minimum.
 #[test]
-fn a_tier_of_1100_needs_the_activation_delay_that_its_votes_take() {
+fn activation_delay_must_allow_for_a_vote_of_1100_replicas() {
     let settings = |activation_delay| Settings { activation_delay, ..tier::settings(1_099, 1_100) };
-    let short = settings(60_000 * MS).check();
-    assert_eq!(short, Err(SettingsError::ActivationDelayTooShort { least_ms: 151_900 }));
+    let too_short = settings(60_000 * MS).check();
+    assert_eq!(too_short, Err(SettingsError::ActivationDelayTooShort { least_ms: 151_900 }));
     assert_eq!(settings(151_900 * MS).check(), Ok(()));
-    let over = Settings { replicas: 1_101, ..settings(300_000 * MS) }.check();
-    assert_eq!(over, Err(SettingsError::InvalidReplicas));
+    let too_many = Settings { replicas: 1_101, ..settings(300_000 * MS) }.check();
+    assert_eq!(too_many, Err(SettingsError::InvalidReplicas));
 }
--- a/crates/consensus/tests/tier/mod.rs
+++ b/crates/consensus/tests/tier/mod.rs
@@ -1,7 +1,7 @@
-//! A tier of replicas in virtual time: datagrams are lost, late, duplicated and reordered, the network is partitioned,
-//! replicas restart and clocks differ.
+//! Simulation of a tier of replicas in virtual time: datagrams are lost, delayed, duplicated and reordered, the network
+//! is partitioned, replicas restart and clocks differ.
 //!
-//! Used by the tests and by the example that measures.
+//! Used by the tests and by the `mixing` example.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -16,9 +16,9 @@
 pub const MS: Micros = 1_000;
 /// Time between two ticks of every replica.
 pub const STEP: Micros = 5 * MS;
-/// The share of datagrams that arrive twice.
+/// Share of datagrams that are sent twice.
 const DUPLICATED: f64 = 0.02;
-/// Clocks begin here, so that one may be set back.
+/// Virtual time at the start; not 0, so that clocks can be set back.
 const START: Micros = 1_000_000_000;
 
 pub fn settings(replica: ReplicaId, replicas: ReplicaId) -> Settings {
@@ -27,7 +27,8 @@
         replicas,
         heartbeat_interval: 250 * MS,
         fanout: 2,
-        // What is known of a replica travels by heartbeats, and one of a large tier describes a part of it.
+        // In large tiers it takes longer until the replicas hear of each other: observations are passed on by
+        // heartbeats, each of which describes only some of the replicas.
         lease: match replicas {
             0..=50 => 3_000 * MS,
             51..=100 => 6_000 * MS,
@@ -45,7 +46,7 @@
     }
 }
 
-/// A datagram on its way. They arrive by time, then in the order in which they were sent.
+/// A datagram on its way, ordered by arrival and then by the order of sending.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     arrives_at: Micros,
@@ -54,7 +55,7 @@
     bytes: Vec<u8>,
 }
 
-/// For how long replicas served different versions.
+/// Measures how long replicas serve different versions.
 #[derive(Default)]
 struct MixedVersions {
     since: Option<Micros>,
@@ -71,31 +72,31 @@
 
 pub struct Tier {
     now: Micros,
-    /// The replicas by number; `None` while one is down.
+    /// The replicas by number; `None` for a replica that is down.
     pub replicas: Vec<Option<Replica>>,
-    /// How far each replica's clock is ahead of the virtual time.
+    /// Offset of each replica's clock from the virtual time.
     pub clocks: Vec<i64>,
     rng: Xoshiro256PlusPlus,
     loss: f64,
-    /// The partition of each replica: replicas of different partitions can't reach each other.
+    /// Partition of each replica. Replicas in different partitions cannot reach each other.
     pub partitions: Vec<u8>,
     in_flight: BinaryHeap<Reverse<InFlight>>,
     sequence: u64,
-    /// Every document that was active anywhere, by version.
+    /// Documents that have been active at any replica, by version.
     pub documents: BTreeMap<Slot, Digest>,
     mixed_current: MixedVersions,
     mixed_any: MixedVersions,
-    /// What each replica reported, over its restarts.
+    /// Events that each replica has reported, including those before a restart.
     pub events: Vec<Vec<ReplicaEvent>>,
     received_this_second: Vec<u64>,
-    /// The most datagrams that a replica received within a second.
+    /// Most datagrams that any replica has received within a second.
     pub busiest_second: u64,
     second: Micros,
     pub datagrams: DatagramDigest,
 }
 
-/// A digest over every datagram that left a replica: when, from whom, to whom and its bytes, in their order. FNV-1a of
-/// 64 bits (Fowler, Noll and Vo, 1991), as it must stay the same in every release.
+/// Digest of all sent datagrams in order, with the time, sender, receiver and bytes of each. It is 64-bit FNV-1a
+/// (Fowler, Noll and Vo, 1991), because it must be the same in every release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatagramDigest {
     pub count: u64,
@@ -124,7 +125,8 @@
     pub fn new(replicas: ReplicaId, loss: f64, seed: u64) -> Tier {
         let replica = |number| {
             let replica_seed = seed * 1_000 + u64::from(number) + 1;
-            Replica::new(settings(number, replicas), replica_seed, None, true).expect("usable")
+            Replica::new(settings(number, replicas), replica_seed, None, true)
+                .expect("the settings are valid")
         };
         let count = usize::from(replicas);
         Tier {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// A replica's clock.
+    /// Returns the time on a replica's clock.
     pub fn clock(&self, replica: usize) -> Micros {
         self.now.saturating_add_signed(self.clocks[replica])
     }
@@ -169,7 +171,7 @@
         self.check();
     }
 
-    /// Hands over the datagrams that have arrived.
+    /// Delivers the datagrams that have arrived.
     fn deliver(&mut self) {
         while self.in_flight.peek().is_some_and(|Reverse(next)| next.arrives_at <= self.now) {
             let Some(Reverse(InFlight { to, bytes, .. })) = self.in_flight.pop() else { break };
@@ -177,12 +179,12 @@
             let clock = self.clock(to);
             if let Some(replica) = &mut self.replicas[to] {
                 self.received_this_second[to] += 1;
-                replica.receive(clock, &bytes).expect("it is whole");
+                replica.receive(clock, &bytes).expect("the datagram is valid");
             }
         }
     }
 
-    /// Sends a datagram through the network: once or twice, each copy with a delay of its own, if it is not lost.
+    /// Sends a datagram once or twice; each copy is lost or arrives after a random delay.
     fn transmit(&mut self, from: usize, datagram: &OutgoingDatagram) {
         assert!(datagram.bytes.len() <= 256);
         self.datagrams.record(self.now, from, datagram.to, &datagram.bytes);
@@ -212,7 +214,7 @@
         }
     }
 
-    /// One history, and no two current replicas under different versions.
+    /// Checks that all replicas agree on the document of each version, and measures how long they serve different ones.
     fn check(&mut self) {
         let mut current = Vec::new();
         let mut any = Vec::new();
@@ -220,7 +222,7 @@
             let (slot, document) = replica.active_version();
             let digest = document.map(Digest::of);
             if let Some(digest) = digest {
-                // A version that was voided is served under the document of the one before.
+                // A void version keeps the document of the version before it.
                 let (decided, value) = replica.decided();
                 if decided == slot {
                     assert_eq!(value.active_document(), Some(digest));
@@ -236,17 +238,17 @@
         self.mixed_any.record(self.now, &any);
     }
 
-    /// The longest time for which two replicas with status current served different versions.
+    /// Returns the longest time during which two replicas with status current served different versions.
     pub fn longest_mixed_current(&self) -> Micros {
         self.mixed_current.longest
     }
 
-    /// The longest time for which two replicas that ran served different versions, whatever their status.
+    /// Returns the longest time during which two running replicas of any status served different versions.
     pub fn longest_mixed(&self) -> Micros {
         self.mixed_any.longest
     }
 
-    /// Lets time go on.
+    /// Advances the virtual time by `millis` milliseconds.
     pub fn run(&mut self, millis: u64) {
         let until = self.now + millis * MS;
         while self.now < until {
@@ -254,34 +256,34 @@
         }
     }
 
-    /// Proposes a change of the version that a replica knows to be decided.
+    /// Proposes a change at a replica, based on the latest version that the replica knows to be decided.
     pub fn propose(&mut self, replica: usize, document: &[u8]) -> Result<Slot, ProposeError> {
         let clock = self.clock(replica);
-        let replica = self.replicas[replica].as_mut().expect("it runs");
+        let replica = self.replicas[replica].as_mut().expect("the replica is running");
         let (parent, _) = replica.decided();
         replica.propose(clock, document.to_vec(), parent)
     }
 
-    /// The active version of each replica that runs.
+    /// Returns the active version of each running replica.
     pub fn active_versions(&self) -> Vec<Slot> {
         self.replicas.iter().flatten().map(|replica| replica.active_version().0).collect()
     }
 
-    /// The document that a replica serves under.
+    /// Returns the digest of a replica's active document.
     pub fn active_document(&self, replica: usize) -> Option<Digest> {
         self.replicas[replica].as_ref().and_then(|replica| replica.active_version().1).map(Digest::of)
     }
 
-    /// Stops a replica; what it would have kept on a disk.
+    /// Stops a replica and returns its snapshot.
     pub fn kill(&mut self, replica: usize) -> Option<Snapshot> {
         self.replicas[replica].take().map(|replica| replica.snapshot())
     }
 
-    /// Starts a replica that was stopped.
+    /// Starts a replica that was stopped; without a snapshot it has lost its votes.
     pub fn restart(&mut self, replica: usize, snapshot: Option<Snapshot>) {
         let seed = self.rng.random();
         let settings = settings(replica as ReplicaId, self.replicas.len() as ReplicaId);
-        let restarted = Replica::new(settings, seed, snapshot, false).expect("usable");
+        let restarted = Replica::new(settings, seed, snapshot, false).expect("the settings are valid");
         self.replicas[replica] = Some(restarted);
     }
 }
