--- a/crates/canary/examples/false_alarms.rs
+++ b/crates/canary/examples/false_alarms.rs
@@ -1,9 +1,9 @@
-//! False alarms and misses of the canary analysis over simulated runs.
+//! Measures false alarms and misses of the canary analysis over simulated runs.
 //!
 //! `cargo run --profile kit -p sedgestack-canary --example false_alarms [-- RUNS]`
 //!
-//! In each run the configuration changes in the middle, and a fault is injected at the same moment. Prints, for each
-//! change and fault, how many of the runs were rolled back and after how many seconds (median).
+//! In the middle of each run the configuration changes, and a fault is injected at the same time. For each change and
+//! fault the example prints in how many runs the change was rolled back, and after how many seconds (median).
 
 use rayon::prelude::*;
 use sedgestack_canary::{CanaryAnalysis, Second, Settings, Verdict};
@@ -16,16 +16,16 @@
 const RUN_LENGTH_S: u64 = 55;
 const FAULT_LENGTH: u64 = 12 * MICROS_PER_SECOND;
 const DEFAULT_RUNS: u64 = 300;
-/// The plan that the changes touch.
+/// Index of the plan that the changes touch.
 const TOUCHED_PLAN: usize = 2;
-/// The changes: by which factor the touched plan's rate is multiplied.
+/// The simulated changes: name, and factor by which the touched plan's rate is multiplied.
 const CHANGES: [(&str, f64); 6] = [
     ("none", 1.0),
-    ("a fifth more", 1.2),
-    ("three quarters", 0.75),
-    ("a half", 0.5),
-    ("a quarter", 0.25),
-    ("a tenth", 0.1),
+    ("rate x 1.2", 1.2),
+    ("rate x 0.75", 0.75),
+    ("rate x 0.5", 0.5),
+    ("rate x 0.25", 0.25),
+    ("rate x 0.1", 0.1),
 ];
 
 struct FaultScenario {
@@ -38,14 +38,14 @@
     let crash = Fault::BackendsCrash { at, span, share: 0.23 };
     let zone_lost = Fault::ZoneLost { at, span, zone: 1, limiters: false, silent: true };
     vec![
-        FaultScenario { name: "calm", faults: vec![] },
-        FaultScenario { name: "23% of workers die", faults: vec![crash] },
-        FaultScenario { name: "a room is lost", faults: vec![zone_lost] },
-        FaultScenario { name: "the counter is lost", faults: vec![Fault::CounterLost { at, span }] },
+        FaultScenario { name: "none", faults: vec![] },
+        FaultScenario { name: "backends crash (23%)", faults: vec![crash] },
+        FaultScenario { name: "zone lost", faults: vec![zone_lost] },
+        FaultScenario { name: "counter lost", faults: vec![Fault::CounterLost { at, span }] },
     ]
 }
 
-/// Outcomes of the clients' first tries by second of the run.
+/// Returns the outcomes by second of the run, without client retries.
 fn outcomes_by_second(fleet: &Fleet, observed: &[ObservedRequest]) -> Vec<Second> {
     let mut seconds = vec![Second::default(); RUN_LENGTH_S as usize + 1];
     for request in observed.iter().filter(|request| !request.retry) {
@@ -76,9 +76,9 @@
 fn analyse(before: &[Second], after: &[Second]) -> Verdict {
     let settings = Settings::default();
     let baseline = &before[before.len() - settings.baseline_s as usize..];
-    let mut analysis = CanaryAnalysis::new(settings).expect("the default is in range");
+    let mut analysis = CanaryAnalysis::new(settings).expect("the default settings are valid");
     let evaluate = |n: usize| analysis.evaluate(n as u32, baseline, &after[..n]);
-    (1..=after.len()).map(evaluate).last().expect("the run goes on after the change")
+    (1..=after.len()).map(evaluate).last().expect("the run continues after the change")
 }
 
 fn rollback_time(verdict: &Verdict) -> Option<u32> {
@@ -91,9 +91,9 @@
 fn main() {
     let runs: u64 = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_RUNS);
     let text = include_str!("../../../deploy/fleet-sample.hcl");
-    let mut fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample is valid");
+    let mut fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample file is valid");
     fleet.load.length = RUN_LENGTH_S * MICROS_PER_SECOND;
-    println!("change               trouble              undone of days median_s");
+    println!("change               fault                undone    runs median_s");
     for (change, factor) in CHANGES {
         let mut after = fleet.clone();
         after.plans[TOUCHED_PLAN].rate *= factor;
--- a/crates/canary/src/aggregation.rs
+++ b/crates/canary/src/aggregation.rs
@@ -1,11 +1,13 @@
 //! Aggregation of outcomes over all limiters, along trees.
 //!
-//! In a tier of up to [`MAX_FULL_MESH`] limiters each is the root of its own tree and receives the outcomes of all
-//! others directly: each evaluates the whole tier. A larger tier has two trees of fan-in [`TREE_FAN_IN`]; a limiter
-//! that is an inner node of one is a leaf of the other, so that the loss of a single limiter never cuts the same
-//! part of the tier off from both roots. Once a second a limiter sends its parent in every tree one datagram with
-//! the sums of its own subtree, second by second. A sum replaces earlier ones of the same second, so that lost,
-//! duplicated and reordered datagrams cost nothing but time.
+//! In a tier of up to [`MAX_FULL_MESH`] limiters, each limiter is the root of its own tree, receives the outcomes of
+//! all others directly and evaluates the whole tier. A larger tier has two trees of fan-in [`TREE_FAN_IN`]. A limiter
+//! that is an inner node of one is a leaf of the other, so the loss of a single limiter never cuts off the same part of
+//! the tier from both roots.
+//!
+//! Once a second each limiter sends one datagram to its parent in every tree, with the sums of its own subtree for each
+//! of several seconds. A sum replaces earlier sums of the same second, so lost, duplicated and reordered datagrams only
+//! cause delays.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -17,17 +19,18 @@
 
 /// First byte of a datagram of outcome sums.
 pub const OUTCOME_SUMS_MAGIC: u8 = 0xa8;
-/// The largest tier in which every limiter sends to every other.
+/// Maximum size of a tier in which every limiter sends to every other.
 const MAX_FULL_MESH: ReplicaId = 9;
-/// Children of a node in larger tiers: with two trees a limiter receives at most 8 datagrams a second.
+/// Maximum number of children of a node in larger tiers. With two trees, a limiter receives at most 8 datagrams per
+/// second.
 const TREE_FAN_IN: ReplicaId = 4;
-/// Trees of a tier larger than a full mesh.
+/// Number of trees in a tier that is larger than a full mesh.
 const LARGE_TIER_TREES: ReplicaId = 2;
-/// Seconds in a datagram: with the largest numbers, 256 bytes hold no more.
+/// Number of seconds in a datagram. With the largest counts, 256 bytes hold no more.
 const WINDOW_SECONDS: u64 = 8;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Outcomes of one second, with the number of limiters that are included.
+/// Sum of the outcomes of one second, with the number of limiters that it includes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct OutcomeSum {
     pub replicas: ReplicaId,
@@ -54,13 +57,13 @@
     }
 }
 
-/// Datagram from a limiter to its parent in one tree.
+/// Datagram from a limiter to its parent in a tree.
 #[derive(Debug, Serialize, Deserialize)]
 struct OutcomeDatagram {
     from: ReplicaId,
     tree: ReplicaId,
     version: Slot,
-    /// The second of the first sum; the others follow it.
+    /// The second of the first sum. The other sums are for the seconds that follow.
     first_second: u64,
     sums: Vec<OutcomeSum>,
 }
@@ -69,7 +72,7 @@
 #[derive(Clone, Copy, Debug)]
 struct AggregationTrees {
     replicas: ReplicaId,
-    /// The root of the first tree. It depends on the version, so that no limiter always has the work.
+    /// The root of the first tree. It depends on the version, so that the work is spread over the limiters.
     first_root: ReplicaId,
 }
 
@@ -90,10 +93,10 @@
         u32::from(if self.is_full_mesh() { MAX_FULL_MESH } else { TREE_FAN_IN })
     }
 
-    /// The replica that `replica` sends to in a tree; `None` for its root.
+    /// Returns the replica that `replica` sends to in a tree; `None` for the root.
     fn parent(self, tree: ReplicaId, replica: ReplicaId) -> Option<ReplicaId> {
         let [count, root, tree, replica] = [self.replicas, self.first_root, tree, replica].map(u32::from);
-        // The second tree of a large tier numbers backward: its inner nodes are the leaves of the first.
+        // The second tree of a large tier is numbered backward, so that its inner nodes are leaves of the first.
         let is_backward = !self.is_full_mesh() && tree == 1;
         let position =
             if is_backward { root + count - 1 - replica } else { replica + 2 * count - root - tree } % count;
@@ -104,7 +107,7 @@
         Some(parent as ReplicaId)
     }
 
-    /// Edges between the root and the deepest leaf.
+    /// Returns the number of edges between the root and the deepest leaf.
     fn depth(self) -> u64 {
         let mut depth = 0;
         let mut level_size = 1;
@@ -118,14 +121,14 @@
     }
 }
 
-/// A child's place: the tree and the child.
+/// A child of this limiter in a tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Child {
     tree: ReplicaId,
     replica: ReplicaId,
 }
 
-/// One limiter's part in the aggregation for a version.
+/// One limiter's node in the aggregation of outcomes for one version.
 #[derive(Clone, Debug)]
 pub struct OutcomeAggregator {
     trees: AggregationTrees,
@@ -133,12 +136,12 @@
     version: Slot,
     /// The first second of the baseline.
     baseline_start: u64,
-    /// The second in which the change became active, the first after the baseline. Unless the change came at its
-    /// very beginning, this second belongs to neither side.
+    /// The second in which the change became active, which is the first after the baseline. It belongs neither to the
+    /// baseline nor to the analysis, unless the change became active exactly at its start.
     baseline_end: u64,
     /// The first whole second after the change.
     analysis_start: u64,
-    /// Seconds of the analysis after the change.
+    /// Length of the analysis after the change, in seconds.
     analysis_s: u64,
     own: BTreeMap<u64, OutcomeSum>,
     received: BTreeMap<Child, BTreeMap<u64, OutcomeSum>>,
@@ -146,8 +149,8 @@
 }
 
 impl OutcomeAggregator {
-    /// The part of replica `replica` of `replicas` for a version that is active from `activation` on (microseconds
-    /// of the tier's clock), with a baseline of `baseline_s` seconds and an analysis of `analysis_s`.
+    /// Creates the aggregator of replica `replica` in a group of `replicas`, for a version that becomes active at
+    /// `activation` (microseconds), with a baseline of `baseline_s` seconds and an analysis of `analysis_s` seconds.
     pub fn new(
         (replica, replicas): (ReplicaId, ReplicaId),
         version: Slot,
@@ -174,7 +177,7 @@
         self.analysis_start + self.analysis_s
     }
 
-    /// Whether a second lies after the change; `None` where it is not analysed at all.
+    /// Whether a second lies after the change; `None` if it belongs neither to the baseline nor to the analysis.
     pub fn is_after_change(&self, second: u64) -> Option<bool> {
         if (self.baseline_start..self.baseline_end).contains(&second) {
             Some(false)
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Records this limiter's own outcomes of a second: attempts, and those served in time, of each group.
+    /// Records this limiter's own outcomes of a second. Each group is a pair: attempts, and attempts served in time.
     pub fn record_own(&mut self, second: u64, touched: (u32, u32), control: (u32, u32)) {
         if self.is_after_change(second).is_some() {
             let count = |(attempts, in_time): (u32, u32)| OutcomeCount { attempts, in_time };
@@ -194,10 +197,10 @@
         }
     }
 
-    /// Handles a datagram of another limiter.
+    /// Handles a datagram from another limiter.
     ///
     /// # Errors
-    /// Where it is damaged, of another version, or not from a child of this limiter.
+    /// If the datagram cannot be decoded, is about another version, or is not from a child of this limiter.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), DatagramError> {
         let datagram: OutcomeDatagram = decode_datagram(OUTCOME_SUMS_MAGIC, bytes)?;
         if !self.is_from_child(&datagram) || datagram.version != self.version {
@@ -208,7 +211,7 @@
         let known = self.received.entry(child).or_default();
         for (second, sum) in (datagram.first_second..).zip(datagram.sums) {
             let known_replicas = known.get(&second).map_or(0, |known| known.replicas);
-            // A sum of fewer replicas is an older one that was delayed.
+            // A sum that includes fewer replicas is an older one that was delayed.
             if analysed.contains(&second) && sum.replicas >= known_replicas {
                 known.insert(second, sum);
             }
@@ -222,7 +225,7 @@
             && self.trees.parent(datagram.tree, datagram.from) == Some(self.replica)
     }
 
-    /// The sum of a second over this limiter and those below it in a tree.
+    /// Returns the sum of a second over this limiter and its descendants in a tree.
     fn subtree_sum(&self, tree: ReplicaId, second: u64) -> OutcomeSum {
         let first = Child { tree, replica: 0 };
         let last = Child { tree, replica: ReplicaId::MAX };
@@ -231,7 +234,7 @@
         children.fold(own, |total, sum| total.saturating_add(*sum))
     }
 
-    /// Returns the datagrams to send, by receiver; called once a second.
+    /// Returns the datagrams to send, each with its receiver. Must be called once a second.
     pub fn step(&mut self, now: u64) -> Vec<(ReplicaId, Vec<u8>)> {
         let seconds = self.next_window(now);
         if seconds.is_empty() {
@@ -244,8 +247,8 @@
         (0..self.trees.count()).filter_map(to_parent).collect()
     }
 
-    /// The seconds to send next: every other time the latest ones, in between the earlier ones in turn, so that
-    /// parents receive again what was lost.
+    /// Returns the seconds to send next. Steps alternate between the latest seconds and earlier ones in turn, so that
+    /// lost sums are sent again.
     fn next_window(&mut self, now: u64) -> Range<u64> {
         let end = now.min(self.analysis_end());
         let latest = end.saturating_sub(WINDOW_SECONDS).max(self.baseline_start);
@@ -272,19 +275,20 @@
         encode_datagram(OUTCOME_SUMS_MAGIC, &datagram)
     }
 
-    /// The tree whose root this limiter is, if any: the root evaluates the change.
+    /// Returns the tree whose root is this limiter, if any. The root of a tree evaluates the change.
     pub fn evaluated_tree(&self) -> Option<ReplicaId> {
         (0..self.trees.count()).find(|tree| self.trees.parent(*tree, self.replica).is_none())
     }
 
-    /// Seconds until a sum has reached the root. The latest seconds are sent every other time, which doubles the
-    /// depth of the tree.
+    /// Returns the number of seconds after which a sum has reached the root. As the latest seconds are only sent in
+    /// every other step, each level of the tree takes two seconds.
     pub fn settle_seconds(&self) -> u64 {
         2 * self.trees.depth() + 1
     }
 
-    /// How many seconds after the change have settled; the seconds before and after it that include a majority of
-    /// the limiters; and the number of limiters in the latest of these.
+    /// Returns the outcomes that have reached this limiter as the root of a tree: the number of settled seconds after
+    /// the change, the seconds before and after the change that include a majority of the limiters, and the number of
+    /// limiters included in the latest of these seconds.
     pub fn collected_outcomes(
         &self,
         tree: ReplicaId,
@@ -301,7 +305,7 @@
         (passed as u32, seconds(before), seconds(after), latest_replicas)
     }
 
-    /// The sums of those seconds that include more than half of the limiters.
+    /// Returns the sums that include more than half of the limiters.
     fn majority_sums(&self, tree: ReplicaId, seconds: Range<u64>) -> Vec<OutcomeSum> {
         let sums = seconds.map(|second| self.subtree_sum(tree, second));
         sums.filter(|sum| sum.replicas > self.trees.replicas / 2).collect()
--- a/crates/canary/src/lib.rs
+++ b/crates/canary/src/lib.rs
@@ -1,12 +1,13 @@
-//! Canary analysis: decides whether a configuration change that has just become active is to be rolled back.
+//! Canary analysis: decides whether a configuration change that has just become active must be rolled back.
 //!
-//! A change names the plans that it touches; all other plans are its control group. Shifts of traffic, crashing
-//! backends and a lost quota counter affect both groups alike, while a bad change affects the touched plans alone.
-//! The test statistic is therefore a difference in differences (Card and Krueger, 1994): by how much more the
-//! touched plans' share of attempts served in time fell than that of the control group, with seconds as
-//! observations. The change is evaluated once a second; the evaluations divide the configured false alarm rate
-//! evenly between them (Bonferroni correction), and a drop below a configured size never causes a rollback. Neither
-//! does a gain of the control group: it is not evidence against plans that were served as well as before.
+//! The plans that a change touches are compared with all other plans, the control group. Shifts of traffic, crashing
+//! backends and a lost quota counter affect both groups alike, while a bad change affects only the touched plans. The
+//! test statistic is therefore a difference in differences (Card and Krueger, 1994): how much more the share of
+//! attempts served in time dropped in the touched plans than in the control group. Seconds are the observations.
+//!
+//! The change is evaluated once a second. The configured false alarm rate is divided evenly among the evaluations
+//! (Bonferroni correction), and a drop below a configured minimum never causes a rollback. Neither does an improvement
+//! of the control group, which is no evidence against touched plans that are served as well as before.
 #![forbid(unsafe_code)]
 
 mod aggregation;
@@ -16,28 +17,29 @@
 
 pub use aggregation::{OutcomeAggregator, OUTCOME_SUMS_MAGIC};
 
-/// Shortest baseline that the variation between seconds can be estimated from.
+/// Minimum length of the baseline in seconds, below which the variation between seconds cannot be estimated.
 const MIN_BASELINE_S: u32 = 10;
-/// Earliest evaluation: fewer seconds have no usable estimate of their variation.
+/// Minimum time before the first evaluation in seconds, below which the variation between them cannot be estimated.
 const MIN_FIRST_EVALUATION_S: u32 = 3;
-/// Largest false alarm rate that still makes a rollback mean anything.
+/// Maximum false alarm rate, above which a rollback would mean nothing.
 const MAX_FALSE_ALARM_RATE: f64 = 0.5;
-/// Fewest attempts and seconds from which a share is estimated.
+/// Minimum number of attempts from which a share is estimated.
 const MIN_ATTEMPTS: f64 = 10.0;
+/// Minimum number of seconds from which a share is estimated.
 const MIN_SECONDS: f64 = 3.0;
 
 /// Configuration of the analysis.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Seconds before the change that serve as its baseline, at least 10.
+    /// Length of the baseline before the change in seconds, at least 10.
     pub baseline_s: u32,
-    /// Seconds for which a change is analysed after its activation.
+    /// Length of the analysis after the activation of a change, in seconds.
     pub analysis_s: u32,
-    /// Seconds after the activation before which a change is never rolled back.
+    /// Time of the first evaluation, in seconds after the activation. A change is never rolled back earlier.
     pub first_evaluation_s: u32,
-    /// Upper bound for the share of harmless changes that are rolled back, over the whole analysis.
+    /// Maximum share of harmless changes that are rolled back, over the whole analysis.
     pub false_alarm_rate: f64,
-    /// Smallest drop of the share served in time, relative to the control group, that causes a rollback.
+    /// Minimum drop of the share served in time, relative to the control group, that causes a rollback.
     pub min_drop: f64,
 }
 
@@ -53,19 +55,19 @@
     }
 }
 
-/// A setting out of range.
+/// Invalid settings of the analysis.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The baseline before the change is too short to be compared with.
+    /// The baseline is too short.
     #[error("before: expected at least 10 seconds")]
     Baseline,
-    /// The first evaluation would come too early, or only after the analysis is over.
+    /// The first evaluation is too early, or after the end of the analysis.
     #[error("first_look: expected at least 3 seconds and at most span")]
     FirstEvaluation,
-    /// The false alarm rate is no usable probability.
+    /// The false alarm rate is out of range.
     #[error("false_alarms: expected a share above 0 and at most 0.5")]
     FalseAlarmRate,
-    /// The smallest drop that causes a rollback is not a share.
+    /// The minimum drop is not a share.
     #[error("least_drop: expected a share from 0 to 1")]
     MinDrop,
 }
@@ -74,7 +76,7 @@
     /// Validates the settings.
     ///
     /// # Errors
-    /// Names the first setting that is out of range.
+    /// Names the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.baseline_s < MIN_BASELINE_S {
             return Err(SettingsError::Baseline);
@@ -91,22 +93,22 @@
         Ok(())
     }
 
-    /// How many evaluations share the false alarm rate.
+    /// Returns the number of evaluations, among which the false alarm rate is divided.
     fn evaluation_count(&self) -> u32 {
         self.analysis_s - self.first_evaluation_s + 1
     }
 }
 
-/// Attempts, and how many of them were served within the latency objective.
+/// Counts of attempts, and of those served within the latency objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeCount {
-    /// How many ended, whether they were served or not.
+    /// Attempts that ended, whether they were served or not.
     pub attempts: u32,
-    /// How many of these were served within the latency objective.
+    /// Attempts that were served within the latency objective.
     pub in_time: u32,
 }
 
-/// Outcomes of one second, over all limiters whose counts have arrived.
+/// Outcomes of one second, summed over the limiters whose counts have arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Second {
     /// Outcomes on the plans that the change touches.
@@ -115,16 +117,17 @@
     pub control: OutcomeCount,
 }
 
-/// Result of an evaluation.
+/// Verdict on a change.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum Verdict {
-    /// Undecided: the analysis goes on.
+    /// Undecided: the analysis continues.
     Goes,
-    /// The touched plans fell significantly more than the control group: roll the change back.
+    /// The share served in time dropped significantly more in the touched plans than in the control group: the change
+    /// must be rolled back.
     Undo {
-        /// Drop of the share served in time, from 0 to 1, after that of the control group is subtracted.
+        /// Drop of the touched plans' share served in time, from 0 to 1, less the drop of the control group.
         drop: f64,
-        /// Seconds after the activation at which the drop was found.
+        /// Time at which the drop was found, in seconds after the activation.
         at_s: u32,
     },
     /// The analysis is over and the change stays.
@@ -135,7 +138,7 @@
 #[derive(Clone, Debug)]
 pub struct CanaryAnalysis {
     settings: Settings,
-    /// Seconds after the change at the latest evaluation.
+    /// Time of the latest evaluation, in seconds after the change.
     last_evaluated_s: u32,
     verdict: Verdict,
 }
@@ -144,15 +147,16 @@
     /// Starts the analysis of a change that has just become active.
     ///
     /// # Errors
-    /// Where a setting is out of range.
+    /// If the settings are invalid.
     pub fn new(settings: Settings) -> Result<CanaryAnalysis, SettingsError> {
         settings.check()?;
         Ok(CanaryAnalysis { settings, last_evaluated_s: 0, verdict: Verdict::Goes })
     }
 
-    /// Evaluates the change `passed` seconds after its activation, from the seconds before and after it that are
-    /// known by now. A final verdict never changes. Evaluating the same second again returns the previous verdict:
-    /// the false alarm rate is divided by a fixed number of evaluations, which further ones would exceed.
+    /// Evaluates the change `passed` seconds after its activation, from the known seconds before and after it.
+    ///
+    /// A final verdict never changes. A repeated evaluation at the same second returns the previous verdict, because
+    /// the false alarm rate is divided among a fixed number of evaluations.
     pub fn evaluate(&mut self, passed: u32, before: &[Second], after: &[Second]) -> Verdict {
         let is_final = self.verdict != Verdict::Goes;
         if is_final || passed <= self.last_evaluated_s || passed < self.settings.first_evaluation_s {
@@ -168,16 +172,15 @@
         self.verdict
     }
 
-    /// By how much the touched plans fell relative to the control group, if the drop is both significant and large
-    /// enough.
+    /// Returns the drop of the touched plans relative to the control group, if it is significant and large enough.
     fn significant_drop(&self, before: &[Second], after: &[Second]) -> Option<f64> {
         let touched = |second: &Second| second.touched;
         let control = |second: &Second| second.control;
         let touched_before = estimate_share(before, touched)?;
         let touched_after = estimate_share(after, touched)?;
-        // A change that touches every plan has no control group and is compared with the time before it alone.
+        // A change that touches every plan has no control group and is compared only with its baseline.
         let control_estimates = estimate_share(before, control).zip(estimate_share(after, control));
-        // A control group that improves is ignored: plans that were already served in full can't rise with it.
+        // An improvement of the control group is ignored: plans that were already served in full cannot improve.
         let control_drop =
             control_estimates.as_ref().map_or(0.0, |(before, after)| (before.mean - after.mean).max(0.0));
         let drop = (touched_before.mean - touched_after.mean) - control_drop;
@@ -187,8 +190,9 @@
         (drop >= self.settings.min_drop && drop > threshold).then_some(drop)
     }
 
-    /// The drop that chance exceeds no more often than one evaluation's part of the false alarm rate. Few seconds
-    /// say little about how much seconds vary, hence Student's distribution, with degrees of freedom by Welch (1947).
+    /// Returns the drop that is exceeded by chance with the probability that one evaluation may use up of the false
+    /// alarm rate. With few seconds their variation is uncertain, so this uses Student's t-distribution with degrees of
+    /// freedom by Welch (1947).
     fn significance_threshold(&self, estimates: &[ShareEstimate]) -> Option<f64> {
         let variance: f64 = estimates.iter().map(|e| e.variance).sum();
         let weighted: f64 = estimates.iter().map(|e| e.variance * e.variance / e.degrees_of_freedom).sum();
@@ -200,7 +204,7 @@
     }
 }
 
-/// Estimate of the share served in time.
+/// Estimated share of attempts served in time.
 struct ShareEstimate {
     mean: f64,
     /// Square of the standard error, from the variation between seconds.
@@ -208,8 +212,9 @@
     degrees_of_freedom: f64,
 }
 
-/// Ratio estimator over seconds. Attempts of one second are correlated (a customer's burst, a backend's stall), so
-/// seconds are the observations, not attempts. `None` with too few of either.
+/// Estimates the share served in time by a ratio estimator over seconds; `None` if there are too few attempts or
+/// seconds. Seconds are the observations, because the attempts of one second are correlated, as by a customer's burst
+/// or a backend's stall.
 fn estimate_share(seconds: &[Second], group: impl Fn(&Second) -> OutcomeCount) -> Option<ShareEstimate> {
     let counts: Vec<(f64, f64)> =
         seconds.iter().map(group).map(|c| (f64::from(c.attempts), f64::from(c.in_time))).collect();
@@ -221,7 +226,7 @@
     let mean = counts.iter().map(|(_, in_time)| in_time).sum::<f64>() / attempts;
     let residual: f64 = counts.iter().map(|(attempts, in_time)| (in_time - mean * attempts).powi(2)).sum();
     let between_seconds = residual / (seconds - 1.0) * seconds / (attempts * attempts);
-    // Seconds that were all served in full show no variation: the binomial variance is the lower bound.
+    // The binomial variance is the lower bound, as seconds that were all served in full show no variation.
     let binomial = (mean * (1.0 - mean)).max(0.5 / attempts) / attempts;
     let variance = between_seconds.max(binomial);
     Some(ShareEstimate { mean, variance, degrees_of_freedom: seconds - 1.0 })
--- a/crates/canary/src/tests.rs
+++ b/crates/canary/src/tests.rs
@@ -2,7 +2,7 @@
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// Probabilities that an attempt of a group is served in time.
+/// Probabilities that an attempt of each group is served in time.
 #[derive(Clone, Copy)]
 struct InTime {
     touched: f64,
@@ -21,19 +21,22 @@
     Second { touched: count(30, probability.touched), control: count(60, probability.control) }
 }
 
-/// Analyses a change with 20 seconds at the first probabilities before it and 30 at the second after it.
+/// Analyses a change, with 20 seconds at the probabilities `before` and 30 seconds at those `after`.
 fn analyse(seed: u64, before: InTime, after: InTime) -> Verdict {
     let rng = &mut Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut analysis = CanaryAnalysis::new(Settings::default()).expect("the default is in range");
+    let mut analysis = CanaryAnalysis::new(Settings::default()).expect("the default settings are valid");
     let mut draw = |count: usize, probability: InTime| -> Vec<Second> {
         (0..count).map(|_| draw_second(rng, probability)).collect()
     };
     let (before, after) = (draw(20, before), draw(30, after));
-    (1..=30).map(|n| analysis.evaluate(n, &before, &after[..n as usize])).last().expect("thirty evaluations")
+    (1..=30)
+        .map(|n| analysis.evaluate(n, &before, &after[..n as usize]))
+        .last()
+        .expect("there are 30 evaluations")
 }
 
 #[test]
-fn a_change_without_effect_is_rolled_back_no_more_often_than_the_false_alarm_rate() {
+fn change_without_effect_is_rolled_back_no_more_often_than_the_false_alarm_rate() {
     let rolled_back = (0..300)
         .filter(|seed| analyse(*seed, in_time(0.9, 0.9), in_time(0.9, 0.9)) != Verdict::Stands)
         .count();
@@ -41,7 +44,7 @@
 }
 
 #[test]
-fn a_drop_of_the_touched_plans_alone_is_rolled_back_soon() {
+fn drop_of_the_touched_plans_alone_is_rolled_back_soon() {
     for seed in 0..100 {
         let verdict = analyse(seed, in_time(0.95, 0.95), in_time(0.5, 0.95));
         assert!(matches!(verdict, Verdict::Undo { at_s, .. } if at_s <= 12), "{verdict:?}");
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn a_drop_of_all_plans_alike_is_rarely_rolled_back() {
+fn drop_of_all_plans_is_rarely_rolled_back() {
     let rolled_back = (0..300)
         .filter(|seed| analyse(*seed, in_time(0.95, 0.95), in_time(0.6, 0.6)) != Verdict::Stands)
         .count();
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn a_gain_of_the_control_group_alone_is_never_rolled_back() {
+fn improvement_of_the_control_group_is_never_rolled_back() {
     let rolled_back = (0..300)
         .filter(|seed| analyse(*seed, in_time(1.0, 0.75), in_time(1.0, 1.0)) != Verdict::Stands)
         .count();
@@ -65,7 +68,7 @@
 }
 
 #[test]
-fn a_drop_below_least_drop_is_mostly_not_rolled_back() {
+fn drop_below_the_minimum_is_rarely_rolled_back() {
     let rolled_back = (0..100)
         .filter(|seed| analyse(*seed, in_time(0.95, 0.95), in_time(0.9, 0.95)) != Verdict::Stands)
         .count();
@@ -73,7 +76,7 @@
 }
 
 #[test]
-fn settings_out_of_range_are_named_in_the_error() {
+fn invalid_settings_are_named_in_the_error() {
     let with = |change: fn(&mut Settings)| {
         let mut settings = Settings::default();
         change(&mut settings);
--- a/crates/consensus/examples/mixing.rs
+++ b/crates/consensus/examples/mixing.rs
@@ -10,7 +10,7 @@
 //! - `median_s`: median time from the proposal of the change until it was active at all limiters;
 //! - `mixed_current_ms`, `mixed_all_ms`: longest time during which two limiters served different versions, among
 //!   limiters with status current and among all;
-//! - `taken_in_per_s`: most datagrams that a limiter received within one second.
+//! - `received_per_s`: most datagrams that a limiter received within one second.
 
 #[path = "../tests/tier/mod.rs"]
 #[allow(dead_code)]
@@ -58,7 +58,7 @@
 }
 
 fn main() {
-    println!("limiters loss made  median_s mixed_current_ms mixed_all_ms taken_in_per_s");
+    println!("limiters loss made  median_s mixed_current_ms mixed_all_ms received_per_s");
     let requested: Vec<u16> = std::env::args().skip(1).filter_map(|n| n.parse().ok()).collect();
     let sizes = if requested.is_empty() { vec![3, 10, 30, 100, 300] } else { requested };
     for replicas in sizes {
--- a/crates/kit/src/bounds/tests.rs
+++ b/crates/kit/src/bounds/tests.rs
@@ -32,10 +32,10 @@
     assert!(reason
         .expect("twice the quota")
         .to_string()
-        .starts_with("counters that lost their totals alone"));
+        .starts_with("the term \"counters that lost their totals\" alone"));
     let error = rows("--share 300").remove(0).err().expect("no part is over 1");
     assert_eq!(
         error.to_string(),
-        "plan basico: counter_fraction, lent_fraction and local_share_fraction: expected 0 to 1 each, and one of them over 0"
+        "plan basico: counter, lent and local share fractions: expected 0 to 1 each, and at least one above 0"
     );
 }
--- a/crates/quota-lease/examples/cost.rs
+++ b/crates/quota-lease/examples/cost.rs
@@ -1,12 +1,17 @@
-//! What leases cost, by size of the tier and by the parts that are lent and shared.
+//! Measures the cost of leases by size of the tier, and by the fractions that responsible limiters grant and that are
+//! divided into local shares.
 //!
 //! `cargo run --profile kit -p sedgestack-quota-lease --example cost [-- SEEDS]`
 //!
-//! One customer asks for 70% of its quota on average, in bursts, through all limiters of a tier, for ten minutes; half
-//! of the limiters receive nine tenths of it. "Served" is what was sent of the units within the quota (one token
-//! bucket of its rate and burst for the whole tier); "calls" are calls to the counter for each request; "asked" are
-//! requests to a responsible limiter, each two datagrams; "worst" is the most within any 10 s, divided by the bound.
-//! The counter is whole, gone for good, or cut off from every other limiter.
+//! For ten minutes one customer requests 70% of its quota on average, in bursts, through all limiters of a tier. Half
+//! of the limiters receive nine tenths of the requests. The counter is reached by all limiters (`whole`), by none
+//! (`gone`) or by every second one (`half`). The other columns are:
+//!
+//! - `served`: units sent within the quota, divided by the units that one token bucket with the quota's rate and burst
+//!   for the whole tier admits;
+//! - `calls`: calls to the counter per request;
+//! - `asked`: requests to responsible limiters per request, each of which takes two datagrams;
+//! - `worst/bound`: most units sent within any 10 s, divided by the bound.
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -16,16 +21,16 @@
 const RUN_LENGTH: Micros = 600 * SECOND;
 const DEFAULT_SEEDS: u64 = 20;
 const CUSTOMER: u64 = 1;
-/// Load alternates between busy and quiet phases of this length.
+/// Length of a phase. Each phase is busy or quiet at random.
 const PHASE_LENGTH: Micros = 2 * SECOND;
 const BUSY_LOAD: f64 = 1.2;
 const QUIET_LOAD: f64 = 0.2;
-/// Requests are for 1 to 4 units.
+/// Mean number of units of a request, drawn from 1 to 4.
 const MEAN_UNITS: f64 = 2.5;
-/// Stretch over which what was sent is compared with the bound.
+/// Span over which the units sent are compared with the bound.
 const BOUND_SPAN: Micros = 10 * SECOND;
 
-/// Which limiters reach the counter.
+/// Selects the limiters that reach the counter.
 #[derive(Clone, Copy)]
 enum Links {
     Whole,
@@ -43,7 +48,7 @@
     }
 }
 
-/// Sums over all runs of one setup.
+/// Totals over all runs of one configuration.
 #[derive(Default)]
 struct Totals {
     units_within_quota: f64,
@@ -51,10 +56,10 @@
     requests: u64,
     counter_calls: u64,
     lender_requests: u64,
-    largest_part_of_bound: f64,
+    max_bound_ratio: f64,
 }
 
-/// The quota as one token bucket for the whole tier, to compare leases with.
+/// The quota as one token bucket for the whole tier, as a reference for leases.
 struct TokenBucket {
     rate: f64,
     capacity: f64,
@@ -92,7 +97,7 @@
     }
 }
 
-/// Units that were sent at once.
+/// Units sent at one time.
 struct Sent {
     at: Micros,
     units: f64,
@@ -134,8 +139,8 @@
             self.run_phase(now, phase_end);
             now = phase_end;
         }
-        let largest = self.largest_part_of_bound();
-        self.totals.largest_part_of_bound = self.totals.largest_part_of_bound.max(largest);
+        let largest = self.max_bound_ratio();
+        self.totals.max_bound_ratio = self.totals.max_bound_ratio.max(largest);
     }
 
     fn run_phase(&mut self, start: Micros, end: Micros) {
@@ -183,7 +188,7 @@
         }
     }
 
-    /// Asks a source; returns the total, or `None` where there is no reply.
+    /// Asks a source for units; returns the window's total, or `None` if there is no reply.
     fn ask(&mut self, limiter: usize, now: Micros, request: LeaseRequest) -> Option<f64> {
         match request.source {
             Source::Limiter(_) => {
@@ -198,7 +203,7 @@
         }
     }
 
-    fn largest_part_of_bound(&self) -> f64 {
+    fn max_bound_ratio(&self) -> f64 {
         let bound = self.terms.bound(BOUND_SPAN).most;
         let mut oldest = 0;
         let mut units_within = 0.0;
@@ -241,7 +246,7 @@
         totals.units_served / totals.units_within_quota,
         per_request(totals.counter_calls),
         per_request(totals.lender_requests),
-        totals.largest_part_of_bound
+        totals.max_bound_ratio
     );
 }
 
--- a/crates/quota-lease/src/bound.rs
+++ b/crates/quota-lease/src/bound.rs
@@ -1,56 +1,57 @@
-//! The bound on what leases let through together, over any stretch of time.
+//! The bound on the units that all limiters together send under leases, over any span of time.
 
 use serde::Serialize;
 
 use crate::{LeaseTerms, Micros, MICROS_PER_SECOND};
 
-/// One part of a bound: what it adds to the quota.
+/// One of the terms whose sum is the difference between a bound and the quota.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BoundTerm {
-    /// What causes it, in words for reports.
+    /// The cause, as shown in reports.
     pub name: &'static str,
-    /// Units that it adds; negative where it makes the bound smaller.
+    /// Units that the term adds; negative if it lowers the bound.
     pub units: f64,
 }
 
-/// The most that a customer can be sent in any stretch of a given length.
+/// Maximum number of units that can be sent for a customer in any span of a given length.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Bound {
-    /// What the quota allows: a burst and what refills.
+    /// Units that the quota allows: a burst and what refills during the span.
     pub quota: f64,
-    /// What can be sent, whichever calls, limiters and links fail.
+    /// The bound: maximum number of units sent, whichever calls, limiters and links fail.
     pub most: f64,
-    /// Where the difference comes from.
+    /// The terms of the difference between the bound and the quota.
     pub terms: Vec<BoundTerm>,
 }
 
 impl Bound {
-    /// Units beyond the quota.
+    /// Returns the units by which the bound exceeds the quota.
     pub fn excess(&self) -> f64 {
         (self.most - self.quota).max(0.0)
     }
 
-    /// The bound divided by the quota.
+    /// Returns the bound divided by the quota.
     pub fn ratio(&self) -> f64 {
         self.most / self.quota
     }
 }
 
-/// No local share keeps a target; names the term that adds most to the quota.
+/// A target that is exceeded even without local shares, with the largest term of the bound.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{term} alone comes to {ratio:.2} of the quota")]
+#[error("the term \"{term}\" alone raises the bound to {ratio:.2} times the quota")]
 pub struct TargetError {
     /// Name of the term, as in [`BoundTerm::name`].
     pub term: &'static str,
-    /// The quota with this term added, divided by the quota: 1 where the term adds nothing.
+    /// The sum of the quota and this term, divided by the quota; 1 if the term adds nothing.
     pub ratio: f64,
 }
 
 impl LeaseTerms {
-    /// The most that a customer can be sent within any `span`.
+    /// Returns the maximum number of units that can be sent for a customer within any `span`.
     ///
-    /// Requests that reach backends within it were checked within `span + max_send_delay`, by clocks that differ by
-    /// at most twice the skew; the windows that overlap this stretch each grant their allowance once.
+    /// Requests that reach backends within the span had their leases checked within `span + max_send_delay`, by clocks
+    /// that differ by at most twice the maximum skew. Each window that overlaps this longer time grants its allowance
+    /// once.
     pub fn bound(&self, span: Micros) -> Bound {
         let quota = self.burst + self.rate * span as f64 / MICROS_PER_SECOND;
         let with_skew = span + 2 * self.max_clock_skew;
@@ -58,13 +59,13 @@
         let by_skew = self.overlapping_windows(with_skew);
         let windows = self.overlapping_windows(with_skew + self.max_send_delay);
         let counter_parts = self.counter_fraction * f64::from(self.counters);
-        let whole = self.counter_fraction + self.lent_fraction + self.local_share_fraction;
+        let total_fraction = self.counter_fraction + self.lent_fraction + self.local_share_fraction;
         let term = |name, units| BoundTerm { name, units };
         let terms = vec![
             term("windows that begin or end within it", by_span * self.burst - quota),
             term("clocks", (by_skew - by_span) * self.burst),
             term("requests under way", (windows - by_skew) * self.burst),
-            term("parts handed out", (whole - 1.0) * windows * self.burst),
+            term("parts handed out", (total_fraction - 1.0) * windows * self.burst),
             term(
                 "counters that lost their totals",
                 (counter_parts - self.counter_fraction) * windows * self.burst,
@@ -77,21 +78,22 @@
         }
     }
 
-    /// Upper bound for the number of windows that a stretch overlaps.
+    /// Returns the maximum number of windows that a stretch of time can overlap.
     fn overlapping_windows(&self, stretch: Micros) -> f64 {
         (stretch.div_ceil(self.window_divisor()) + 1) as f64
     }
 
-    /// Upper bound for the age of the information that a limiter acts on: a lease expires with its window, and a grant
-    /// is no older than the window.
+    /// Returns the maximum age of the information that a limiter acts on: a grant is no older than its window and
+    /// expires with it.
     pub fn staleness(&self) -> Micros {
         self.window_length() + self.max_clock_skew
     }
 
-    /// The terms with the largest local shares that keep any `span` within `target` times the quota.
+    /// Returns the terms with the largest local shares for which the bound of any `span` is at most `target` times the
+    /// quota.
     ///
     /// # Errors
-    /// Where the target is exceeded without any local share: the term that adds most.
+    /// If the bound exceeds the target even without local shares; the error names the largest term.
     pub fn with_largest_local_shares(&self, span: Micros, target: f64) -> Result<LeaseTerms, TargetError> {
         let without_shares = LeaseTerms { local_share_fraction: 0.0, ..*self }.bound(span);
         let shares_alone =
--- a/crates/quota-lease/src/bound/tests.rs
+++ b/crates/quota-lease/src/bound/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_stretch_of_whole_windows_is_bounded_by_the_quota() {
+fn span_of_whole_windows_is_bounded_by_the_quota() {
     for windows in 0..20 {
         let bound = terms().bound(windows * 4 * SECOND);
         assert_eq!((bound.excess(), bound.ratio()), (0.0, 1.0), "{windows} windows");
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_terms_sum_up_to_the_difference_between_bound_and_quota() {
+fn terms_sum_up_to_the_difference_between_bound_and_quota() {
     let all = LeaseTerms {
         local_share_fraction: 0.3,
         lent_fraction: 0.2,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_target_gives_the_largest_local_shares_or_the_term_that_exceeds_it() {
+fn target_yields_the_largest_local_shares_or_names_the_largest_term() {
     let minute = 60 * SECOND;
     let terms_within = terms().with_largest_local_shares(minute, 1.1).expect("a minute is fifteen windows");
     assert!(
@@ -42,10 +42,10 @@
     );
     let alone = LeaseTerms { counter_fraction: 0.0, ..terms() }
         .with_largest_local_shares(minute, 0.5)
-        .expect("shares alone");
+        .expect("local shares alone can reach the target");
     assert!((alone.bound(minute).ratio() - 0.5).abs() < 1e-9, "{alone:?}");
-    let two = LeaseTerms { counters: 2, ..terms() }
+    let two_counters = LeaseTerms { counters: 2, ..terms() }
         .with_largest_local_shares(minute, 1.1)
         .expect_err("twice the quota");
-    assert_eq!((two.term, two.ratio), ("counters that lost their totals", 2.0));
+    assert_eq!((two_counters.term, two_counters.ratio), ("counters that lost their totals", 2.0));
 }
--- a/crates/quota-lease/src/lease.rs
+++ b/crates/quota-lease/src/lease.rs
@@ -1,59 +1,61 @@
-//! One limiter's lease of one customer's quota.
+//! A limiter's lease of a customer's quota.
 
 use crate::{LeaseTerms, Micros};
 
-/// Smallest amount that counts: sums of units are exact to far less.
+/// Tolerance in comparisons of units, far above the rounding errors of their sums.
 const UNITS_TOLERANCE: f64 = 1e-9;
 
-/// Who grants units.
+/// A source that grants units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
-    /// The quota counter, which all limiters share.
+    /// The quota counter, which is common to all limiters.
     Counter,
-    /// The responsible limiter of this rank, from 0.
+    /// The responsible limiter of this rank, starting at 0.
     Limiter(u32),
 }
 
 /// A limiter's request to a source: add `amount` to the customer's total of `window`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseRequest {
-    /// Who is asked for the units.
+    /// The source that is asked for units.
     pub source: Source,
-    /// The window of the request, not of its reply: the grant expires with it.
+    /// Number of the window in which the request was made. The grant expires with this window, even if the reply comes
+    /// later.
     pub window: u64,
-    /// Units to be added to the window's total.
+    /// Units to add to the window's total.
     pub amount: f64,
 }
 
-/// Units that a limiter may send now.
+/// Units that a limiter may send at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Available {
-    /// Unspent units, of grants and of the local share together.
+    /// Unspent units of grants and of the local share together.
     pub units: f64,
-    /// End of the current window, by the limiter's clock: unspent units expire then.
+    /// End of the current window by the limiter's clock, when unspent units expire.
     pub expires_at: Micros,
 }
 
-/// What a limiter may send for a customer.
+/// State of a limiter's lease for one customer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lease {
     terms: LeaseTerms,
+    /// Number of the current window.
     window: u64,
-    /// Unspent units that were granted in this window.
+    /// Unspent units granted in the current window.
     granted: f64,
-    /// Unspent units of the limiter's local share.
+    /// Unspent units of the local share in the current window.
     share: f64,
     sent_previous_window: f64,
     sent_this_window: f64,
-    /// The request that has no reply yet.
+    /// The request whose reply is outstanding.
     pending: Option<LeaseRequest>,
-    /// Sources that have nothing left of this window, or didn't reply in it.
+    /// Sources that have no units left in the current window, or to which a request has failed in it.
     exhausted: Vec<Source>,
 }
 
 impl Lease {
-    /// The lease of a limiter that starts at `now`. An earlier incarnation may have spent the local share of this
-    /// window, so there is none until the next.
+    /// Creates the lease of a limiter that starts at `now`. It has no local share until the next window, because an
+    /// earlier incarnation of the limiter may have spent that of the current one.
     pub fn new(terms: LeaseTerms, now: Micros) -> Lease {
         Lease {
             terms,
@@ -67,8 +69,8 @@
         }
     }
 
-    /// Moves on to the window of `now`. Guards against clocks that are set back: a window that has ended never comes
-    /// again.
+    /// Enters the window of `now`, unless it is an earlier one: if the clock was set back, a window that has ended must
+    /// not be entered again.
     fn enter_window(&mut self, now: Micros) {
         let window = now / self.terms.window_divisor();
         if window <= self.window {
@@ -83,8 +85,8 @@
         self.exhausted.clear();
     }
 
-    /// Takes units off the lease, if it has them; called at the very moment of sending. Granted units go first, as
-    /// no other limiter can use them.
+    /// Spends units if the lease covers them, and returns whether it does. Must be called immediately before sending.
+    /// Granted units are spent first, as no other limiter can use them.
     pub fn spend(&mut self, now: Micros, units: f64) -> bool {
         self.enter_window(now);
         let is_covered = self.granted + self.share + UNITS_TOLERANCE >= units;
@@ -97,8 +99,8 @@
         is_covered
     }
 
-    /// The request to make before `units` can be sent: to the counter first, then to the responsible limiters. `None`
-    /// where they can be sent already, where a request is pending, or where no source has anything left of this window.
+    /// Returns the request to make before `units` can be sent: to the counter first, then to the responsible limiters.
+    /// `None` if the lease already covers the units, a request is pending, or all sources are exhausted in this window.
     pub fn next_request(&mut self, now: Micros, units: f64) -> Option<LeaseRequest> {
         self.enter_window(now);
         let missing = units - self.granted - self.share;
@@ -118,8 +120,8 @@
         sources.find(|source| self.terms.grantable_by(*source) > 0.0 && !self.exhausted.contains(source))
     }
 
-    /// Half of what the limiter is likely to send until the window ends, judged by this window and the one before.
-    /// Only half, as no other limiter can use what it doesn't.
+    /// Returns half of the units that the limiter will probably send until the end of the window, estimated from this
+    /// window and the previous one. Only half is requested in advance, as no other limiter can use units left unspent.
     fn expected_need(&self, now: Micros) -> f64 {
         let window = self.terms.window_divisor();
         let elapsed = now.max(self.window * window) % window;
@@ -127,8 +129,8 @@
         self.sent_previous_window.max(self.sent_this_window) * remaining / 2.0
     }
 
-    /// Handles a reply: `total` is the window's total after the request's amount was added. What of the amount lies
-    /// within the source's part is granted, if the window hasn't ended.
+    /// Handles a reply; `total` is the window's total after the request's amount was added. If the window has not
+    /// ended, as much of the amount as lies within the source's part of the allowance is granted.
     pub fn on_grant(&mut self, now: Micros, request: LeaseRequest, total: f64) {
         self.enter_window(now);
         self.pending = None;
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Handles a request that failed or whose outcome is unknown: it grants nothing, and its source isn't asked again
+    /// Handles a request that failed or whose outcome is unknown. It grants nothing, and its source is not asked again
     /// in this window.
     pub fn on_failure(&mut self, request: LeaseRequest) {
         self.pending = None;
@@ -153,7 +155,7 @@
         }
     }
 
-    /// What could be sent now.
+    /// Returns the units that may be sent at `now`.
     pub fn available(&mut self, now: Micros) -> Available {
         self.enter_window(now);
         Available {
--- a/crates/quota-lease/src/lender.rs
+++ b/crates/quota-lease/src/lender.rs
@@ -1,10 +1,10 @@
-//! Grants by the limiters that are responsible for a customer, from memory, as the quota counter grants its part.
+//! Grants by responsible limiters, which keep window totals in memory in the same way as the quota counter.
 
 use std::collections::BTreeMap;
 
 use crate::{LeaseRequest, LeaseTerms, Micros};
 
-/// Totals are integers, so that they can be hashed and compared: units times this.
+/// Resolution of totals, which are integers so that they can be hashed and compared.
 const STEPS_PER_UNIT: f64 = 1e3;
 
 /// A customer's total of one window.
@@ -12,27 +12,28 @@
 struct WindowTotal {
     window: u64,
     ends_at: Micros,
-    /// In thousandths of a unit.
+    /// Total in thousandths of a unit.
     total: u64,
 }
 
-/// What a limiter has granted to others, by customer.
+/// A responsible limiter's grants to other limiters: the current totals by customer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub struct Lender {
     started_at: Micros,
-    /// The latest time that this limiter's clock has shown.
+    /// The latest time shown by this limiter's clock.
     latest: Micros,
     totals: BTreeMap<u64, WindowTotal>,
 }
 
 impl Lender {
-    /// A lender that starts at `now`. An earlier incarnation may have granted units of this window already.
+    /// Creates a lender that starts at `now`. It grants nothing in the current window, because an earlier incarnation
+    /// may already have granted units of it.
     pub fn new(now: Micros) -> Lender {
         Lender { started_at: now, latest: now, totals: BTreeMap::new() }
     }
 
-    /// Adds the requested amount, rounded up to thousandths, and returns the total, as the counter does. `None` where it
-    /// grants nothing: for any window but the current one, and for the one in which the lender started.
+    /// Adds the requested amount, rounded up to thousandths of a unit, and returns the new total, as the counter does.
+    /// `None` if the amount is invalid, the window is not the current one, or the lender started during the window.
     pub fn lend(
         &mut self,
         now: Micros,
@@ -40,7 +41,7 @@
         customer: u64,
         request: LeaseRequest,
     ) -> Option<f64> {
-        // Guards against clocks that are set back: totals of earlier windows are gone.
+        // If the clock was set back, an earlier window must not be granted again, as its totals are already removed.
         self.latest = self.latest.max(now);
         let window_length = terms.window_divisor();
         let window = self.latest / window_length;
@@ -57,7 +58,7 @@
         Some(entry.total as f64 / STEPS_PER_UNIT)
     }
 
-    /// Removes the totals of windows that have ended; returns how many customers are left.
+    /// Removes the totals of windows that have ended, and returns the number of customers that remain.
     pub fn remove_expired(&mut self, now: Micros) -> usize {
         self.latest = self.latest.max(now);
         let latest = self.latest;
@@ -66,10 +67,10 @@
     }
 }
 
-/// The limiters that are responsible for a customer, in order of rank.
+/// Returns the limiters that are responsible for a customer, in order of rank.
 ///
-/// Rendezvous hashing (Thaler and Ravishankar, 1998): all limiters compute the same ranks without communication, each
-/// is responsible for as many customers, and a limiter that leaves moves only its own.
+/// Uses rendezvous hashing (Thaler and Ravishankar, 1998): all limiters compute the same ranks without communication,
+/// customers are distributed evenly, and if a limiter leaves, only its own customers move.
 pub fn responsible_limiters(customer: u64, limiters: u32, count: u32) -> Vec<u32> {
     let score = |limiter: u32| splitmix64(customer ^ splitmix64(u64::from(limiter) + 1));
     let mut ranked: Vec<(u64, u32)> = (0..limiters).map(|limiter| (score(limiter), limiter)).collect();
--- a/crates/quota-lease/src/lender/tests.rs
+++ b/crates/quota-lease/src/lender/tests.rs
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn totals_rise_by_customer_and_window_from_the_first_window_after_the_start() {
+fn totals_are_kept_by_customer_and_window_after_the_first_window() {
     let mut lender = Lender::new(5 * SECOND);
     assert_eq!(
         lender.lend(6 * SECOND, &terms(), 7, request(1, 2.0)),
         None,
-        "it may have lent before it started"
+        "an earlier incarnation may have granted units of this window"
     );
     assert_eq!(lender.lend(8 * SECOND, &terms(), 7, request(2, 2.0)), Some(2.0));
     assert_eq!(lender.lend(9 * SECOND, &terms(), 7, request(2, 0.5001)), Some(2.501), "rounded up");
@@ -26,11 +26,11 @@
         assert_eq!(lender.lend(9 * SECOND, &terms(), 7, request(window, amount)), None, "{window} {amount}");
     }
     assert_eq!((lender.remove_expired(11 * SECOND), lender.remove_expired(12 * SECOND)), (2, 0));
-    assert_eq!(lender.lend(9 * SECOND, &terms(), 7, request(2, 1.0)), None, "a clock set back");
+    assert_eq!(lender.lend(9 * SECOND, &terms(), 7, request(2, 1.0)), None, "the clock was set back");
 }
 
 #[test]
-fn customers_are_spread_evenly_and_a_leaving_limiter_moves_only_its_own() {
+fn customers_are_spread_evenly_and_a_leaving_limiter_moves_only_its_customers() {
     let mut customers = [0; 30];
     for customer in 0..3_000u64 {
         let first = responsible_limiters(customer * 77, 30, 2);
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -1,16 +1,21 @@
-//! Leases of quota over all limiters, with a proven bound on what they let through together.
+//! Quota leases: limiters obtain parts of a customer's quota in advance, with a proven bound on the units that they
+//! send together.
 //!
-//! Time is divided into windows, the same for all limiters, each as long as a customer's burst takes to refill. A
-//! window has an allowance of one burst, in up to three parts. The quota counter grants the first: a limiter adds the
-//! amount that it wants to the window's total and may send what of the amount lies within that part. Totals only
-//! rise, so grants to different limiters never overlap, whichever calls are lost. Limiters that are responsible for
-//! the customer ([`responsible_limiters`], [`Lender`]) grant the second part in the same way. The third is divided
-//! between all limiters as local shares. What isn't sent by the end of the window, by the limiter's clock at the
-//! moment of sending, expires. That holds for a limiter that was suspended; one that was restarted has no local share
-//! and grants nothing until the next window begins.
+//! Time is divided into windows, the same for all limiters. A window is as long as a customer's burst takes to refill,
+//! and its allowance is one burst. The allowance has up to three parts:
 //!
-//! [`LeaseTerms::bound`] states what that comes to over any stretch of time, term by term.
-//! [`Lease`] is one limiter's part.
+//! - The quota counter grants the first part. A limiter adds the amount that it needs to the window's total, and may
+//!   send as much of that amount as lies within the counter's part. Totals only rise, so grants to different limiters
+//!   never overlap, whichever calls are lost.
+//! - Limiters that are responsible for the customer ([`responsible_limiters`], [`Lender`]) grant the second part in the
+//!   same way.
+//! - The third part is divided among all limiters as local shares.
+//!
+//! Units that are not sent by the end of their window expire. The limiter's clock at the time of sending decides, so
+//! this also holds for a limiter that was suspended. A limiter that was restarted has no local share and grants nothing
+//! until the next window begins.
+//!
+//! [`LeaseTerms::bound`] returns the bound for any span of time, term by term. [`Lease`] is the state of one limiter.
 #![forbid(unsafe_code)]
 
 mod bound;
@@ -21,7 +26,7 @@
 pub use lease::{Available, Lease, LeaseRequest, Source};
 pub use lender::{responsible_limiters, Lender};
 
-/// Microseconds.
+/// Time in microseconds.
 pub type Micros = u64;
 
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -30,59 +35,59 @@
 /// The configuration of leases for the customers of one plan, the same at all limiters.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTerms {
-    /// Units a second that a customer may be sent, over all limiters.
+    /// A customer's quota in units per second, across all limiters.
     pub rate: f64,
-    /// Units at once that a customer may be sent, over all limiters.
+    /// A customer's burst in units, across all limiters.
     pub burst: f64,
-    /// Limiters that the customer's requests come through.
+    /// Number of limiters that receive requests of the customer.
     pub limiters: u32,
-    /// Part of the allowance that the counter grants.
+    /// Fraction of the allowance that the counter grants.
     pub counter_fraction: f64,
-    /// Part of the allowance that the responsible limiters grant together, each the same amount.
+    /// Fraction of the allowance that the responsible limiters grant together, in equal parts.
     pub lent_fraction: f64,
-    /// Part of the allowance that all local shares come to together.
+    /// Fraction of the allowance that all local shares make up together.
     pub local_share_fraction: f64,
-    /// Limiters that are responsible for a customer.
+    /// Number of limiters that are responsible for a customer.
     pub lenders: u32,
-    /// Upper bound for the difference between a limiter's clock and true time.
+    /// Maximum difference between a limiter's clock and true time.
     pub max_clock_skew: Micros,
-    /// Upper bound for the time from the check of a request's lease to its last byte at a backend.
+    /// Maximum time from the check of a request's lease until its last byte reaches a backend.
     pub max_send_delay: Micros,
-    /// Counters that may grant the same window's allowance: 1 where a counter that lost its totals, or a second one,
-    /// can't start within a window; 2 where one can.
+    /// Number of counters that may grant the allowance of the same window: 2 if a counter that lost its totals, or a
+    /// second counter, can start within a window, otherwise 1.
     pub counters: u32,
 }
 
-/// Lease terms out of range.
+/// Invalid lease terms.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseTermsError {
     /// The rate or the burst is not a positive, finite number.
-    #[error("rate and burst: expected finite figures over 0")]
+    #[error("rate and burst: expected finite numbers above 0")]
     Quota,
-    /// There is no limiter that requests could come through.
-    #[error("spread: expected 1 limiter at least")]
+    /// The number of limiters is 0.
+    #[error("spread: expected at least 1 limiter")]
     Limiters,
-    /// A part of the allowance is not a share, or nothing of it is granted by anyone.
-    #[error("counter_fraction, lent_fraction and local_share_fraction: expected 0 to 1 each, and one of them over 0")]
+    /// A fraction of the allowance is not between 0 and 1, or all of them are 0.
+    #[error("counter, lent and local share fractions: expected 0 to 1 each, and at least one above 0")]
     Fractions,
-    /// The number of counters or that of responsible limiters is 0.
-    #[error("counters and lenders: expected 1 at least")]
+    /// The number of counters or of responsible limiters is 0.
+    #[error("counters and lenders: expected at least 1 of each")]
     Counters,
-    /// Windows are so short that a grant expires before the call for it returns.
-    #[error("burst: it refills within {window_ms} ms; a lease so short ends before a call of {call_ms} ms is over")]
+    /// Windows are so short that a grant may expire before the call that requested it returns.
+    #[error("burst: refills within {window_ms} ms, so a lease may end before a call of up to {call_ms} ms returns")]
     Window {
         /// Length of a window, in milliseconds.
         window_ms: u64,
-        /// Longest time that a call to the counter may take, in milliseconds.
+        /// Maximum duration of a call to the counter, in milliseconds.
         call_ms: u64,
     },
 }
 
 impl LeaseTerms {
-    /// Validates the terms; `call` is the longest time that a call to the counter may take.
+    /// Validates the terms; `call` is the maximum duration of a call to the counter.
     ///
     /// # Errors
-    /// Names the first value that is out of range.
+    /// Names the first invalid value.
     pub fn check(&self, call: Micros) -> Result<(), LeaseTermsError> {
         let is_positive = |value: f64| value.is_finite() && value > 0.0;
         if !is_positive(self.rate) || !is_positive(self.burst) {
@@ -107,17 +112,17 @@
         Ok(())
     }
 
-    /// Length of a window: the time that a burst takes to refill.
+    /// Returns the length of a window: the time that a burst takes to refill.
     pub fn window_length(&self) -> Micros {
         (self.burst / self.rate * MICROS_PER_SECOND) as Micros
     }
 
-    /// Length of a window as a divisor, also where the terms are out of range.
+    /// Returns the length of a window as a divisor, which is never 0, even for invalid terms.
     fn window_divisor(&self) -> Micros {
         self.window_length().max(1)
     }
 
-    /// Units of a window that one source grants.
+    /// Returns the number of units that a source may grant in each window.
     fn grantable_by(&self, source: Source) -> f64 {
         match source {
             Source::Counter => self.burst * self.counter_fraction,
@@ -125,13 +130,13 @@
         }
     }
 
-    /// Units of a window that one limiter may send without a grant.
+    /// Returns the number of units that each limiter may send in a window without a grant.
     fn local_share(&self) -> f64 {
         self.burst * self.local_share_fraction / f64::from(self.limiters)
     }
 }
 
-/// Windows of 4 s with 40 units each, all granted by the counter.
+/// Terms for tests: windows of 4 s with 40 units each, all granted by the counter.
 #[cfg(test)]
 fn sample() -> LeaseTerms {
     LeaseTerms {
--- a/crates/quota-lease/tests/checked.rs
+++ b/crates/quota-lease/tests/checked.rs
@@ -1,7 +1,7 @@
-//! Model checking of leases: every order of requests, replies, failures, sends and restarts.
+//! Model checking of leases: requests, replies, failures, sends and restarts in every order.
 //!
-//! Two limiters, windows of two seconds with an allowance of two units from the counter, and one unit of local share
-//! each. Clocks agree; steps within a second are taken in every order.
+//! The model has two limiters with equal clocks, and windows of two seconds. In each window the counter grants two
+//! units and each limiter has a local share of one unit. The steps within a second are taken in every order.
 
 use std::hash::{Hash, Hasher};
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct PendingRequest {
     request: LeaseRequest,
-    /// The total after the amount was added; `None` where it has not been added yet.
+    /// The total after the amount was added; `None` if it has not been added yet.
     total: Option<f64>,
 }
 
@@ -44,7 +44,7 @@
     total_losses: u8,
 }
 
-// None of the numbers is ever NaN.
+// The state contains no NaN, so equality is reflexive.
 impl Eq for State {}
 
 impl Hash for State {
@@ -65,11 +65,14 @@
     LoseTotals,
 }
 
-/// The rule, or a mutant of it that the checker must catch.
+/// The checked model: the default is the implementation, and each flag enables a mutant that the checker must catch.
 #[derive(Clone, Copy, Default)]
 struct Tier {
+    /// A grant expires with the window in which its reply arrives.
     expires_from_reply: bool,
+    /// A restarted limiter has its local share at once.
     has_share_at_once: bool,
+    /// The counter may lose its totals.
     loses_totals: bool,
 }
 
@@ -101,7 +104,7 @@
                 Some(PendingRequest { total: None, .. }) => steps.push(Step::Add(limiter)),
                 Some(PendingRequest { total: Some(_), .. }) => steps.push(Step::Reply(limiter)),
             }
-            // The limiter does not learn whether the amount was added.
+            // A failed request may have been added to the total, which the limiter does not know.
             if state.pending[limiter].is_some() && state.failures < 2 {
                 steps.push(Step::Fail(limiter));
             }
@@ -153,7 +156,7 @@
             Step::Restart(limiter) => {
                 state.restarts += 1;
                 state.pending[limiter] = None;
-                // A mutant believes that it has run since before this window.
+                // The mutant acts as if the limiter had been running since before this window.
                 let started_at = if self.has_share_at_once { 0 } else { now };
                 state.leases[limiter] = Lease::new(TERMS, started_at);
             }
@@ -177,19 +180,19 @@
 }
 
 #[test]
-fn no_order_of_requests_failures_and_restarts_exceeds_a_windows_allowance() {
+fn no_order_of_steps_exceeds_a_windows_allowance() {
     let checked = Tier::default().checker().threads(4).spawn_bfs().join();
-    println!("{} states, {} steps deep", checked.unique_state_count(), checked.max_depth());
+    println!("{} states, depth {} steps", checked.unique_state_count(), checked.max_depth());
     checked.assert_properties();
 }
 
 #[test]
-fn the_checker_catches_each_mutant() {
-    let rule = Tier::default();
+fn checker_catches_each_mutant() {
+    let model = Tier::default();
     for (name, mutant) in [
-        ("a grant expires with the window of its reply", Tier { expires_from_reply: true, ..rule }),
-        ("a restarted limiter has its local share at once", Tier { has_share_at_once: true, ..rule }),
-        ("the counter loses its totals", Tier { loses_totals: true, ..rule }),
+        ("a grant expires with the window of its reply", Tier { expires_from_reply: true, ..model }),
+        ("a restarted limiter has its local share at once", Tier { has_share_at_once: true, ..model }),
+        ("the counter loses its totals", Tier { loses_totals: true, ..model }),
     ] {
         let checked = mutant.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
         assert!(checked.discovery("no window exceeds its allowance").is_some(), "{name}");
--- a/crates/quota-lease/tests/tiers.rs
+++ b/crates/quota-lease/tests/tiers.rs
@@ -1,5 +1,5 @@
-//! Simulated tiers of limiters under random faults, checked against the bound in every stretch; and mutants that the
-//! same check must catch.
+//! Simulated tiers of limiters under random faults, whose sent units are compared with the bound over every span of
+//! time, and mutants that the same check must catch.
 
 use std::collections::BTreeMap;
 
@@ -13,39 +13,41 @@
 const CUSTOMER: u64 = 0x5eed;
 const LENDERS: u32 = 2;
 const SKEW_MS: i64 = 50;
-/// The longest time that a call to the counter may take, for the check of the terms.
+/// Maximum duration of a call to the counter, for the validation of the terms.
 const CALL_TIMEOUT: Micros = 100 * MS;
-/// How long a reply takes usually, and when it is so late that its window has ended.
+/// Usual delay of a reply.
 const REPLY_DELAY: Micros = 20 * MS;
+/// Delay of a late reply, whose window has ended.
 const LATE_REPLY_DELAY: Micros = 5 * SECOND;
-/// How long a limiter's connection to one of several counters lasts.
+/// Time after which a limiter connects to the next of several counters.
 const COUNTER_CHANGE_INTERVAL: Micros = 15 * SECOND;
+/// Minimum time between two losses of the counter's totals, in the mutant that loses them.
 const TOTALS_LOST_INTERVAL: Micros = 5 * SECOND;
 
-/// A fault in the implementation, on purpose.
+/// A deliberate bug in the implementation.
 #[derive(Clone, Copy, PartialEq)]
 enum Mutant {
     None,
-    /// A grant expires with the window of its reply, not of its request.
+    /// A grant expires with the window in which its reply arrives, not with that of its request.
     ExpiresFromReply,
-    /// A restarted limiter has its local share again at once.
+    /// A restarted limiter has its local share, and grants units, again at once.
     ForgetsWhatItSpent,
-    /// A limiter that was suspended sends by the clock of the moment at which it was suspended.
+    /// A limiter that was suspended sends by the time at which it was suspended.
     SendsByStaleClock,
-    /// The counter's totals are lost though the terms exclude that.
+    /// The counter loses its totals although the terms exclude this.
     LosesTotals,
 }
 
 struct Limiter {
     lease: Lease,
     lender: Lender,
-    /// How far its clock is ahead of true time.
+    /// Offset of the limiter's clock from true time.
     clock_offset: i64,
     suspended_until: Micros,
     suspended_at: Micros,
 }
 
-/// Units that were sent at once.
+/// Units sent at one time.
 #[derive(Clone, Copy)]
 struct Sent {
     at: Micros,
@@ -55,7 +57,7 @@
 struct Tier {
     terms: LeaseTerms,
     limiters: Vec<Limiter>,
-    /// Totals by window, of each counter.
+    /// Totals of each counter by window.
     counters: Vec<BTreeMap<u64, f64>>,
     sent: Vec<Sent>,
     rejected: u64,
@@ -79,7 +81,7 @@
     totals_lost_at: Micros,
 }
 
-/// What a run is drawn from.
+/// Parameters of a simulated run.
 #[derive(Clone, Copy)]
 struct Setup {
     limiters: u32,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Simulates a run in which the customer asks for three times its quota, with faults drawn from `seed`.
+    /// Simulates a run in which the customer requests three times its quota, with random faults from `seed`.
     fn run(&self, seed: u64) -> Tier {
         let mut simulation = Simulation::new(self, seed);
         while simulation.now < RUN_LENGTH {
@@ -118,7 +120,7 @@
     fn new(setup: &Setup, seed: u64) -> Simulation {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let terms = setup.terms();
-        terms.check(CALL_TIMEOUT).expect("the terms are in range");
+        terms.check(CALL_TIMEOUT).expect("the terms are valid");
         let limiters = (0..setup.limiters).map(|_| Limiter {
             lease: Lease::new(terms, 0),
             lender: Lender::new(0),
@@ -132,7 +134,7 @@
         Simulation { rng, tier, now: SECOND, replies: Vec::new(), counter_down_until: 0, totals_lost_at: 0 }
     }
 
-    /// Goes on to the next moment, at which one limiter may fail, takes a request and asks for more units.
+    /// Advances the time by a random step. Then one limiter may fail, otherwise handles a request and asks for units.
     fn step(&mut self) {
         self.now += self.rng.random_range(1..=30) * MS;
         self.deliver_replies();
@@ -164,13 +166,13 @@
     }
 
     fn inject_fault(&mut self, limiter: usize) {
-        let losable =
+        let may_lose_totals =
             self.tier.mutant == Mutant::LosesTotals && self.now > self.totals_lost_at + TOTALS_LOST_INTERVAL;
         match self.rng.random_range(0..400) {
             0 => self.counter_down_until = self.now + self.rng.random_range(1..20) * SECOND,
             1 => self.suspend(limiter),
             2..=4 => self.tier.restart(limiter, self.now),
-            5 if losable => {
+            5 if may_lose_totals => {
                 self.totals_lost_at = self.now;
                 self.tier.counters[0].clear();
             }
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Suspends a limiter right after it was granted units that it has not sent yet.
+    /// Suspends a limiter immediately after it was granted units, before it can send them.
     fn suspend(&mut self, limiter: usize) {
         let until = self.now + self.rng.random_range(1..9) * SECOND;
         let clock = self.tier.clock(limiter, self.now);
@@ -195,11 +197,11 @@
     }
 
     fn call_counter(&mut self, limiter: usize, request: LeaseRequest) {
-        // Each limiter is connected to one of the counters, at times to another.
+        // Each limiter is connected to one of the counters, and connects to the next one at intervals.
         let counter = (limiter + (self.now / COUNTER_CHANGE_INTERVAL) as usize) % self.tier.counters.len();
         let is_answered = self.now >= self.counter_down_until && self.rng.random::<f64>() > 0.03;
         let total = self.tier.counters[counter].entry(request.window).or_default();
-        // The amount may be added though the reply is lost.
+        // The amount may be added to the total even if the reply is lost.
         if is_answered || self.rng.random::<f64>() < 0.5 {
             *total += request.amount;
         }
@@ -220,7 +222,7 @@
         let clock = self.tier.clock(lender, self.now);
         let is_suspended = self.now < self.tier.limiters[lender].suspended_until;
         let is_reached = !is_suspended && self.rng.random::<f64>() > 0.2;
-        // Each rank keeps totals of its own, also where one limiter has both.
+        // Each rank has separate totals, even if the same limiter has both ranks.
         let customer = CUSTOMER + u64::from(rank);
         let total = if is_reached {
             let terms = self.tier.terms;
@@ -265,8 +267,8 @@
         }
     }
 
-    /// The most that was sent in any stretch of a length, divided by the bound: over 1 the bound is broken.
-    fn largest_part_of_bound(&self, span: Micros) -> f64 {
+    /// Returns the most units sent within any `span`, divided by the bound. A value above 1 violates the bound.
+    fn max_bound_ratio(&self, span: Micros) -> f64 {
         let bound = self.terms.bound(span).most;
         let mut oldest = 0;
         let mut units_within = 0.0;
@@ -282,8 +284,8 @@
         largest
     }
 
-    /// Whether more was sent within a window, by true time, than its allowance. Near the ends of a window clocks may
-    /// differ about which window it is, so that only what was sent further in is counted.
+    /// Whether the units sent within any window exceed its allowance. Near the ends of a window clocks may disagree
+    /// about the current window, so only units that were sent further from the ends, by true time, are counted.
     fn exceeds_allowance(&self) -> bool {
         let window = self.terms.window_length();
         let skew = self.terms.max_clock_skew;
@@ -299,14 +301,14 @@
         sums.values().any(|sum| *sum > self.terms.burst * parts + 1e-6)
     }
 
-    fn breaks_bound(&self) -> bool {
+    fn violates_bound(&self) -> bool {
         let spans = [100 * MS, SECOND, 4 * SECOND, 10 * SECOND, 60 * SECOND];
-        self.exceeds_allowance() || spans.iter().any(|span| self.largest_part_of_bound(*span) > 1.0)
+        self.exceeds_allowance() || spans.iter().any(|span| self.max_bound_ratio(*span) > 1.0)
     }
 }
 
 #[test]
-fn no_stretch_of_any_run_exceeds_the_bound() {
+fn no_span_of_any_run_exceeds_the_bound() {
     let mut largest = 0.0f64;
     for seed in 0..150 {
         for (limiters, counters, lent_fraction) in
@@ -314,25 +316,25 @@
         {
             let tier = Setup { limiters, counters, lent_fraction, mutant: Mutant::None }.run(seed);
             assert!(
-                !tier.breaks_bound(),
+                !tier.violates_bound(),
                 "seed {seed}, {limiters} limiters, {counters} counters, {lent_fraction} lent"
             );
-            assert!(tier.rejected > 1_000, "seed {seed}: the load exceeds the quota");
-            largest = largest.max(tier.largest_part_of_bound(10 * SECOND));
+            assert!(tier.rejected > 1_000, "seed {seed}: the load must exceed the quota");
+            largest = largest.max(tier.max_bound_ratio(10 * SECOND));
         }
     }
-    // A bound far above what happens would be of no use.
+    // The bound must not be far above what can happen.
     assert!(largest > 0.6, "{largest}");
 }
 
-/// Seeds, of so many, in which a tier with this mutant breaks the bound.
+/// Returns the number of seeds below `seeds` with which a tier with this mutant violates the bound.
 fn count_caught(mutant: Mutant, lent_fraction: f64, seeds: u64) -> usize {
     let setup = Setup { limiters: 3, counters: 1, lent_fraction, mutant };
-    (0..seeds).filter(|seed| setup.run(*seed).breaks_bound()).count()
+    (0..seeds).filter(|seed| setup.run(*seed).violates_bound()).count()
 }
 
 #[test]
-fn the_check_catches_each_mutant() {
+fn check_catches_each_mutant() {
     let without_mutant = count_caught(Mutant::None, 0.0, 40);
     let mutants = [
         Mutant::ExpiresFromReply,
@@ -342,6 +344,7 @@
     ];
     let caught = mutants.map(|mutant| count_caught(mutant, 0.0, 40));
     assert!(without_mutant == 0 && caught.iter().all(|n| *n > 0), "{without_mutant}, {caught:?}");
-    // A lender that grants again what it granted before its restart, without any other source.
+    // Without any other source, the mutant still violates the bound: restarted responsible limiters grant again what
+    // they granted before.
     assert!(count_caught(Mutant::ForgetsWhatItSpent, 1.0, 40) > 0);
 }
