--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -14,13 +14,13 @@
     #[error("round: expected a duration above 0, and a lease of at least four rounds")]
     InvalidHeartbeatInterval,
     /// A vote could not end before the activation of its change.
-    #[error("lead: expected at least {least_ms} ms: lease, skew and the rounds that a vote of so many replicas takes")]
+    #[error("lead: expected at least {least_ms} ms: lease, skew and the rounds that a vote among this many replicas takes")]
     ActivationDelayTooShort {
         /// The shortest valid activation delay, in milliseconds.
         least_ms: u64,
     },
     /// Heartbeats would take more than half of the datagrams that a replica may receive.
-    #[error("fanout: each replica would receive {per_second} heartbeats per second; expected at most half of intake, {max_datagrams_per_second} datagrams per second")]
+    #[error("fanout: each replica would receive {per_second} heartbeats per second; expected at most half of the intake of {max_datagrams_per_second} datagrams per second")]
     TooManyHeartbeats {
         /// Heartbeats that each replica would receive per second.
         per_second: u64,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,6 +1,6 @@
 //! Consensus among limiters on the versions of their runtime configuration.
 //!
-//! A [`Replica`] is one limiter's member of the consensus group. The caller passes it the time, received datagrams and
+//! A [`Replica`] represents one limiter in the consensus group. The caller passes it the time, received datagrams and
 //! operators' requests; the replica returns the datagrams to send and reports which version is active. It does no I/O
 //! and reads no clock, and the same calls always give the same results. Its guarantees and their reasons are described
 //! in `docs/design/0002-configuration-transactions.md`.
--- a/crates/consensus/src/peers.rs
+++ b/crates/consensus/src/peers.rs
@@ -1,4 +1,5 @@
-//! What a replica knows about its peers, from their heartbeats and from the observations of third replicas in them.
+//! What a replica knows about its peers, from their heartbeats and from the observations of other replicas that these
+//! contain.
 
 use crate::message::{PeerObservation, AGE_STEP};
 use crate::{Micros, ReplicaId, Slot};
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -27,7 +27,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// One limiter's member of the consensus group.
+/// A limiter as a member of the consensus group.
 ///
 /// Each part of its state is a type of its own, in the module that also holds the replica's methods for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -141,7 +141,8 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Whether this replica has lost its votes and has not seen a majority since. [`Replica::adopt`] ends this state.
+    /// Whether this replica has lost its votes and has not seen a majority since. [`Replica::adopt`] also ends this
+    /// state.
     pub fn awaits_adoption(&self) -> bool {
         self.votes.are_lost()
     }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -64,9 +64,9 @@
         Ok(())
     }
 
-    /// Returns how long a lease may last after the state that it was granted on. New changes are not accepted closer to
-    /// their activation than this, so that every lease that covers the activation was granted on knowledge of the
-    /// change.
+    /// Returns how long a lease may outlast the state of the majority that it was granted on. New changes are not
+    /// accepted closer to their activation than this, so that every lease that covers the activation was granted by
+    /// replicas that know of the change.
     pub(crate) fn lease_margin(&self) -> Micros {
         self.lease + self.max_clock_skew
     }
--- a/crates/consensus/src/voting.rs
+++ b/crates/consensus/src/voting.rs
@@ -8,7 +8,7 @@
 use crate::{Digest, Micros, ReplicaId, Slot};
 
 /// Distance between the highest slot accepted by any peer and the first slot on which a replica that has lost its
-/// votes may vote. It may already have voted on the slots in between.
+/// votes may vote. It may already have voted on lower slots.
 const LOST_VOTES_GAP: Slot = 2;
 /// Number of slots whose votes are kept, up to and including the latest decided one.
 const RETAINED_SLOTS: Slot = 8;
--- a/crates/consensus/tests/checked.rs
+++ b/crates/consensus/tests/checked.rs
@@ -166,7 +166,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one history", |_, state: &State| {
+            Property::always("replicas agree on every version", |_, state: &State| {
                 let decided: Vec<_> = state.replicas.iter().map(Replica::decided).collect();
                 decided.iter().all(|a| decided.iter().all(|b| a.0 != b.0 || a.1 == b.1))
             }),
@@ -200,7 +200,11 @@
 fn check_guarantees(tier: Tier) {
     let checked = tier.checker().threads(4).spawn_bfs().join();
     println!("{} states, depth {} rounds", checked.unique_state_count(), checked.max_depth());
-    for property in ["one history", "current replicas serve the same version", "every vote is finished"] {
+    for property in [
+        "replicas agree on every version",
+        "current replicas serve the same version",
+        "every vote is finished",
+    ] {
         if let Some(path) = checked.discovery(property) {
             let last = path.last_state();
             let replicas: Vec<_> =
@@ -234,5 +238,9 @@
 fn checker_catches_votes_by_a_replica_that_lost_its_votes() {
     let mutant = Tier { partitions: 2, fault_rounds: 12, votes_though_lost: true };
     let checked = mutant.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
-    assert!(checked.discovery("one history").is_some(), "{} states", checked.unique_state_count());
+    assert!(
+        checked.discovery("replicas agree on every version").is_some(),
+        "{} states",
+        checked.unique_state_count()
+    );
 }
