--- a/crates/runtime-config/src/decode.rs
+++ b/crates/runtime-config/src/decode.rs
@@ -45,7 +45,7 @@
         parent: version.integer("parent", PARENT_RANGE)?,
         author: version.string("author")?.to_string(),
         reason: version.string("reason")?.to_string(),
-        watch: version.bool_or("watch", true)?,
+        has_canary_analysis: version.bool_or("watch", true)?,
         pinned: version.bool_or("pinned", false)?,
     };
     if provenance.author.trim().is_empty() {
--- a/crates/runtime-config/src/lib.rs
+++ b/crates/runtime-config/src/lib.rs
@@ -31,7 +31,7 @@
     /// Why it is proposed, in words for the people who look it up later.
     pub reason: String,
     /// Whether it goes through canary analysis, with automatic rollback.
-    pub watch: bool,
+    pub has_canary_analysis: bool,
     /// Whether it is only replaced where an operator forces it.
     pub pinned: bool,
 }
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -299,7 +299,7 @@
         let (decided, value) = self.replica.decided();
         let follows_served = document.provenance.parent == self.served_version && decided == slot;
         let Some(activated_at) = value.activates_at() else { return };
-        if follows_served && document.provenance.watch {
+        if follows_served && document.provenance.has_canary_analysis {
             let names = changed_plans(&self.serving, document);
             let touched = self.configured.plans_where(|name| names.contains(name));
             canary.begin(slot, digest, activated_at, touched);
