--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -30,7 +30,7 @@
     let message = error("rate         = 7.2", "rat          = 7.2");
     assert!(message.contains("plan \"faculdade\".rate: is missing"), "{message}");
     let message = error("price        = 1.3", "prise        = 1.3");
-    assert!(message.contains("plan \"faculdade\".prise: is not known here"), "{message}");
+    assert!(message.contains("plan \"faculdade\".prise: unknown key or block"), "{message}");
 }
 
 #[test]
--- a/crates/hcl/src/document.rs
+++ b/crates/hcl/src/document.rs
@@ -1,4 +1,4 @@
-//! Parsed files.
+//! Parsing of HCL files, and the source text that errors refer to.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 
 use crate::{ConfigError, Section};
 
-/// The text of a file, for errors that name a position in it.
+/// Source text of a file. Converts byte offsets into lines and columns for error messages.
 pub(crate) struct Source {
     file: Arc<str>,
-    /// Offsets at which lines begin.
+    /// Byte offset of the first character of each line.
     line_starts: Vec<usize>,
     pub(crate) text: String,
 }
@@ -22,7 +22,7 @@
         Source { file: file.into(), line_starts, text: text.to_string() }
     }
 
-    /// An error at a byte offset.
+    /// Creates an error for `key` at a byte offset of the text.
     pub(crate) fn error_at(&self, offset: usize, key: String, expected: impl Into<String>) -> ConfigError {
         let line = self.line_starts.partition_point(|start| *start <= offset).max(1);
         let line_start = self.line_starts[line - 1];
@@ -31,17 +31,17 @@
     }
 }
 
-/// A parsed file.
+/// A parsed HCL file.
 pub struct Document {
     source: Source,
     body: Body,
 }
 
 impl Document {
-    /// Parses `text`; errors name `file`.
+    /// Parses `text`. `file` is the name that error messages show for it.
     ///
     /// # Errors
-    /// Where the text is not valid HCL, with the position of the syntax error.
+    /// Returns the position of the syntax error if the text is not valid HCL.
     pub fn parse(file: &str, text: &str) -> Result<Document, ConfigError> {
         let source = Source::new(file, text);
         match hcl_edit::parser::parse_body(text) {
@@ -56,7 +56,7 @@
     /// Reads and parses a file.
     ///
     /// # Errors
-    /// Where it can't be read or is not valid HCL.
+    /// Returns an error if the file can't be read or is not valid HCL.
     pub fn read(path: &Path) -> Result<Document, ConfigError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -64,7 +64,7 @@
         Document::parse(&file, &text)
     }
 
-    /// The whole file as a section.
+    /// Returns the whole file as a section.
     pub fn root(&self) -> Section<'_> {
         Section::root(&self.source, &self.body)
     }
--- a/crates/hcl/src/duration.rs
+++ b/crates/hcl/src/duration.rs
@@ -1,12 +1,13 @@
-//! Durations with their units.
+//! Parsing of durations such as `"800ms"`.
 
-/// Microseconds, the unit of every duration in a configuration.
+/// A duration or a point in time in microseconds.
 pub type Micros = u64;
 
-/// Longest duration, in microseconds: up to here numbers are exact as floating point.
+/// Exclusive upper limit of a duration, in microseconds. Below it, `f64` represents every whole number exactly.
 const MAX_MICROS: f64 = 9e15;
 
-/// Parses a duration with its unit, as `"800ms"`, into microseconds.
+/// Parses a number with a unit (`us`, `ms`, `s`, `m` or `h`), such as `"800ms"`, into microseconds. Returns `None` if
+/// the text is not a duration.
 pub fn parse_duration(text: &str) -> Option<Micros> {
     let unit_start = text.find(|c: char| c.is_ascii_alphabetic())?;
     let (number, unit) = text.split_at(unit_start);
@@ -15,6 +16,7 @@
     (micros < MAX_MICROS).then_some(micros as Micros)
 }
 
+/// Returns the number of microseconds in a unit.
 fn micros_per(unit: &str) -> Option<f64> {
     match unit {
         "us" => Some(1.0),
--- a/crates/hcl/src/lib.rs
+++ b/crates/hcl/src/lib.rs
@@ -1,17 +1,17 @@
-//! Typed access to HCL configuration, with errors that name their position.
+//! Typed access to HCL configuration, with the position of each error.
 //!
-//! A [`Document`] is parsed once. A [`Section`] is one block of it, or the whole file, and returns values by key,
-//! each checked against its type and range. Every [`ConfigError`] names the file, line, column and key.
-//! [`Section::reject_unknown_keys`] rejects keys and blocks that were never read, so that a mistyped key is not
-//! ignored.
+//! A [`Document`] is a parsed file. A [`Section`] is one of its blocks or the whole file. Its methods look up a value
+//! by key and check its type and range. Every [`ConfigError`] names the file, line, column and key.
+//! [`Section::reject_unknown_keys`] rejects keys and blocks that the program has not read, so that a misspelled key is
+//! not ignored.
 //!
 //! ```
-//! let document = sedgestack_hcl::Document::parse("limits.hcl", "line {\n room = 12\n wait = \"80ms\"\n}\n")?;
+//! let document = sedgestack_hcl::Document::parse("limits.hcl", "queue {\n size = 12\n timeout = \"80ms\"\n}\n")?;
 //! let root = document.root();
-//! let line = root.block("line")?;
-//! assert_eq!(line.integer("room", 1..=100)?, 12);
-//! assert_eq!(line.duration("wait")?, 80_000);
-//! line.reject_unknown_keys()?;
+//! let queue = root.block("queue")?;
+//! assert_eq!(queue.integer("size", 1..=100)?, 12);
+//! assert_eq!(queue.duration("timeout")?, 80_000);
+//! queue.reject_unknown_keys()?;
 //! root.reject_unknown_keys()?;
 //! # Ok::<(), sedgestack_hcl::ConfigError>(())
 //! ```
--- a/crates/hcl/src/section.rs
+++ b/crates/hcl/src/section.rs
@@ -11,21 +11,23 @@
 use crate::document::Source;
 use crate::{parse_duration, ConfigError, Micros};
 
-/// Characters of a wrong value that its error shows.
+/// Maximum number of characters of an invalid value that an error message quotes.
 const MAX_SHOWN_CHARACTERS: usize = 40;
-/// How errors call the section that is the whole file.
+/// Name of the root section in error messages.
 const ROOT_NAME: &str = "the file";
 
-/// One block, or the whole file.
+/// One block of a file, or the whole file.
+///
+/// Each method that looks up a key or a kind of block marks it as known, see [`Section::reject_unknown_keys`].
 pub struct Section<'a> {
     source: &'a Source,
     body: &'a Body,
-    /// Keys and labels from the root to this section, as `tier.class "report-read"`; empty for the root.
+    /// Keys and labels from the root to this section, such as `tier.class "report-read"`; empty for the root.
     path: String,
     label: Option<String>,
-    /// Offset in the file at which the section begins.
+    /// Byte offset of the section in the file.
     offset: usize,
-    /// Keys and kinds of blocks that were read so far; all others are unknown.
+    /// Keys and kinds of blocks that have been looked up. All others are unknown.
     read_keys: RefCell<BTreeSet<String>>,
 }
 
@@ -34,7 +36,7 @@
         Section { source, body, path: String::new(), label: None, offset: 0, read_keys: RefCell::default() }
     }
 
-    /// The section of a block in this section.
+    /// Returns the section of a block inside this section.
     fn child(&self, block: &'a Block) -> Section<'a> {
         let label = block.labels.first().map(|label| label.as_str().to_string());
         let kind = block.ident.as_str();
@@ -49,27 +51,29 @@
         }
     }
 
-    /// The block's label, as in `class "report-read" { ... }`.
+    /// Returns the block's label, such as `report-read` in `class "report-read" { ... }`.
     ///
     /// # Errors
-    /// Where it has none.
+    /// Returns an error if the block has no label.
     pub fn label(&self) -> Result<&str, ConfigError> {
-        self.label.as_deref().ok_or_else(|| self.error("expected a name in quotes before the brace"))
+        self.label.as_deref().ok_or_else(|| self.error("expected a label in quotes before the opening brace"))
     }
 
-    /// An error of the section as a whole.
+    /// Creates an error that concerns the section as a whole.
     pub fn error(&self, expected: impl Into<String>) -> ConfigError {
         let key = if self.path.is_empty() { ROOT_NAME.to_string() } else { self.path.clone() };
         self.source.error_at(self.offset, key, expected)
     }
 
-    /// An error of one key, placed at its value, or at the section where the key is missing.
+    /// Creates an error that concerns one key. Its position is that of the value, or of the section if the key is not
+    /// set.
     pub fn error_at(&self, key: &str, expected: impl Into<String>) -> ConfigError {
         let value = self.body.get_attribute(key).and_then(|attribute| attribute.value.span());
         let offset = value.map_or(self.offset, |span| span.start);
         self.source.error_at(offset, self.key_path(key), expected)
     }
 
+    /// Returns the path from the root to a key of this section.
     fn key_path(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_string()
@@ -78,15 +82,17 @@
         }
     }
 
-    /// Whether a key is set. Does not count as reading it.
+    /// Whether a key is set. Does not mark the key as known.
     pub fn contains(&self, key: &str) -> bool {
         self.body.get_attribute(key).is_some()
     }
 
+    /// Marks a key or a kind of block as known.
     fn mark_read(&self, key: &str) {
         self.read_keys.borrow_mut().insert(key.to_string());
     }
 
+    /// Returns the value of a key that must be set.
     fn value(&self, key: &str, expected: &str) -> Result<&'a Expression, ConfigError> {
         self.mark_read(key);
         let attribute = self.body.get_attribute(key);
@@ -94,6 +100,7 @@
         attribute.map(|attribute| &attribute.value).ok_or_else(missing)
     }
 
+    /// Creates an error that quotes an invalid value.
     fn wrong_value(&self, key: &str, expected: &str, found: &Expression) -> ConfigError {
         let span = found.span();
         let text = span.clone().and_then(|span| self.source.text.get(span)).unwrap_or("another value");
@@ -103,10 +110,10 @@
         self.source.error_at(offset, self.key_path(key), expected)
     }
 
-    /// A number within `range`.
+    /// Returns a number within `range`.
     ///
     /// # Errors
-    /// Where it is missing, not a number or out of range.
+    /// Returns an error if the value is missing, not a number or out of range.
     pub fn number(&self, key: &str, range: RangeInclusive<f64>) -> Result<f64, ConfigError> {
         let expected = format!("a number from {} to {}", range.start(), range.end());
         let value = self.value(key, &expected)?;
@@ -114,18 +121,18 @@
         number.ok_or_else(|| self.wrong_value(key, &expected, value))
     }
 
-    /// An optional number within `range`.
+    /// Returns a number within `range`, or `default` if the key is not set.
     ///
     /// # Errors
-    /// Where it is not a number or out of range.
+    /// Returns an error if the value is not a number or out of range.
     pub fn number_or(&self, key: &str, range: RangeInclusive<f64>, default: f64) -> Result<f64, ConfigError> {
         self.value_or(key, default, || self.number(key, range))
     }
 
-    /// An integer within `range`.
+    /// Returns an integer within `range`.
     ///
     /// # Errors
-    /// Where it is missing, not an integer or out of range.
+    /// Returns an error if the value is missing, not an integer or out of range.
     pub fn integer(&self, key: &str, range: RangeInclusive<u64>) -> Result<u64, ConfigError> {
         let expected = format!("a whole number from {} to {}", range.start(), range.end());
         let value = self.value(key, &expected)?;
@@ -133,10 +140,10 @@
         integer.filter(|n| range.contains(n)).ok_or_else(|| self.wrong_value(key, &expected, value))
     }
 
-    /// An optional integer within `range`.
+    /// Returns an integer within `range`, or `default` if the key is not set.
     ///
     /// # Errors
-    /// Where it is not an integer or out of range.
+    /// Returns an error if the value is not an integer or out of range.
     pub fn integer_or(
         &self,
         key: &str,
@@ -146,20 +153,20 @@
         self.value_or(key, default, || self.integer(key, range))
     }
 
-    /// A string.
+    /// Returns a string.
     ///
     /// # Errors
-    /// Where it is missing or not a plain string.
+    /// Returns an error if the value is missing or not a string literal.
     pub fn string(&self, key: &str) -> Result<&'a str, ConfigError> {
-        let expected = "text in quotes";
+        let expected = "a string in quotes";
         let value = self.value(key, expected)?;
         value.as_str().ok_or_else(|| self.wrong_value(key, expected, value))
     }
 
-    /// One of `keywords`, by its index in them.
+    /// Returns the index in `keywords` of the value.
     ///
     /// # Errors
-    /// Where it is missing or none of them.
+    /// Returns an error if the value is missing or not one of the keywords.
     pub fn keyword(&self, key: &str, keywords: &[&str]) -> Result<usize, ConfigError> {
         let expected = format!("one of {}", keywords.join(", "));
         let value = self.value(key, &expected)?;
@@ -167,18 +174,18 @@
         index.ok_or_else(|| self.wrong_value(key, &expected, value))
     }
 
-    /// One of `keywords`, by default the first, by its index in them.
+    /// Returns the index in `keywords` of the value, or 0 if the key is not set.
     ///
     /// # Errors
-    /// Where it is none of them.
+    /// Returns an error if the value is not one of the keywords.
     pub fn keyword_or_first(&self, key: &str, keywords: &[&str]) -> Result<usize, ConfigError> {
         self.value_or(key, 0, || self.keyword(key, keywords))
     }
 
-    /// An optional `true` or `false`.
+    /// Returns a boolean, or `default` if the key is not set.
     ///
     /// # Errors
-    /// Where it is neither.
+    /// Returns an error if the value is neither `true` nor `false`.
     pub fn bool_or(&self, key: &str, default: bool) -> Result<bool, ConfigError> {
         let expected = "true or false";
         self.value_or(key, default, || {
@@ -187,29 +194,30 @@
         })
     }
 
-    /// A duration with its unit, as `"800ms"`, in microseconds.
+    /// Returns a duration, written as [`parse_duration`] reads it, in microseconds.
     ///
     /// # Errors
-    /// Where it is missing or not a duration.
+    /// Returns an error if the value is missing or not a duration.
     pub fn duration(&self, key: &str) -> Result<Micros, ConfigError> {
-        let expected = "a span such as \"800ms\", with us, ms, s, m or h";
+        let expected = "a duration such as \"800ms\", in us, ms, s, m or h";
         let value = self.value(key, expected)?;
         let duration = value.as_str().and_then(parse_duration);
         duration.ok_or_else(|| self.wrong_value(key, expected, value))
     }
 
-    /// An optional duration.
+    /// Returns a duration in microseconds, or `default` if the key is not set.
     ///
     /// # Errors
-    /// Where it is not a duration.
+    /// Returns an error if the value is not a duration.
     pub fn duration_or(&self, key: &str, default: Micros) -> Result<Micros, ConfigError> {
         self.value_or(key, default, || self.duration(key))
     }
 
-    /// A range as two numbers, the lower one first, or as one number for both ends.
+    /// Returns the lower and upper end of a range. The value is a list of both numbers, or one number for both ends.
     ///
     /// # Errors
-    /// Where it is missing, out of range or the wrong way round.
+    /// Returns an error if the value is missing or not a range, if an end is outside `range`, or if the lower end is
+    /// above the upper one.
     pub fn range(&self, key: &str, range: RangeInclusive<f64>) -> Result<(f64, f64), ConfigError> {
         let expected = format!("[lowest, highest], or one number, from {} to {}", range.start(), range.end());
         let value = self.value(key, &expected)?;
@@ -221,12 +229,12 @@
         ends.filter(is_valid).ok_or_else(|| self.wrong_value(key, &expected, value))
     }
 
-    /// A list of strings.
+    /// Returns a list of strings.
     ///
     /// # Errors
-    /// Where it is missing, empty or holds other values.
+    /// Returns an error if the list is missing or empty, or contains values other than strings.
     pub fn strings(&self, key: &str) -> Result<Vec<String>, ConfigError> {
-        let expected = "a list of texts, as [\"a\", \"b\"]";
+        let expected = "a list of strings such as [\"a\", \"b\"]";
         let value = self.value(key, expected)?;
         let strings: Option<Vec<String>> = value
             .as_array()
@@ -235,6 +243,7 @@
         strings.ok_or_else(|| self.wrong_value(key, expected, value))
     }
 
+    /// Returns the value that `read` gives, or `default` if the key is not set.
     fn value_or<T>(
         &self,
         key: &str,
@@ -249,37 +258,37 @@
         }
     }
 
-    /// All blocks of a kind, in order.
+    /// Returns all blocks of a kind, in the order of the file.
     pub fn blocks(&self, kind: &str) -> Vec<Section<'a>> {
         self.mark_read(kind);
         let blocks = self.body.blocks().filter(|block| block.ident.as_str() == kind);
         blocks.map(|block| self.child(block)).collect()
     }
 
-    /// The only block of a kind.
+    /// Returns the only block of a kind.
     ///
     /// # Errors
-    /// Where there is none, or more than one.
+    /// Returns an error if there is no such block, or more than one.
     pub fn block(&self, kind: &str) -> Result<Section<'a>, ConfigError> {
         self.optional_block(kind)?.ok_or_else(|| self.error(format!("the block {kind} {{ ... }} is missing")))
     }
 
-    /// The only block of a kind, if there is one.
+    /// Returns the only block of a kind, or `None` if there is no such block.
     ///
     /// # Errors
-    /// Where there is more than one.
+    /// Returns an error if there is more than one.
     pub fn optional_block(&self, kind: &str) -> Result<Option<Section<'a>>, ConfigError> {
         let mut blocks = self.blocks(kind);
         match blocks.get(1) {
-            Some(second) => Err(second.error(format!("expected one block {kind}, found another"))),
+            Some(second) => Err(second.error(format!("expected one block {kind}, found a second one"))),
             None => Ok(blocks.pop()),
         }
     }
 
-    /// Rejects keys and blocks that were never read. To be called once all known ones were.
+    /// Rejects keys and blocks that have not been looked up. Call it after looking up all that the program knows.
     ///
     /// # Errors
-    /// Where a key or block is unknown, with those that are known.
+    /// Returns an error at the first unknown key or block, which lists the known ones.
     pub fn reject_unknown_keys(&self) -> Result<(), ConfigError> {
         let read_keys = self.read_keys.borrow();
         for structure in self.body {
@@ -289,7 +298,7 @@
             };
             if !read_keys.contains(name.as_str()) {
                 let known: Vec<&str> = read_keys.iter().map(String::as_str).collect();
-                let expected = format!("is not known here; known are {}", known.join(", "));
+                let expected = format!("unknown key or block; known here: {}", known.join(", "));
                 let offset = name.span().map_or(self.offset, |span| span.start);
                 return Err(self.source.error_at(offset, self.key_path(name.as_str()), expected));
             }
@@ -298,7 +307,7 @@
     }
 }
 
-/// The value of a number, also of a negative one.
+/// Returns the value of a number literal, with or without a minus sign.
 fn number(value: &Expression) -> Option<f64> {
     match value {
         Expression::Number(number) => number.as_f64(),
--- a/crates/hcl/src/tests.rs
+++ b/crates/hcl/src/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn an_error_names_file_line_column_key_and_what_was_expected() {
+fn errors_state_the_position_the_key_and_the_expected_value() {
     let text = "a = 1\nworker \"w\" {\n  cores = \"two\"\n  wait = \"3 parsecs\"\n}\n";
     let document = Document::parse("f.hcl", text).expect("valid HCL");
     let root = document.root();
@@ -14,21 +14,26 @@
         error_text(worker.integer("cores", 1..=64)),
         "f.hcl:3:11: worker \"w\".cores: expected a whole number from 1 to 64, found \"two\""
     );
-    assert!(error_text(worker.duration("wait")).starts_with("f.hcl:4:10: worker \"w\".wait: expected a span"));
+    assert!(
+        error_text(worker.duration("wait")).starts_with("f.hcl:4:10: worker \"w\".wait: expected a duration")
+    );
     assert!(error_text(worker.number("speed", 0.0..=1.0))
         .starts_with("f.hcl:2:1: worker \"w\".speed: is missing"));
 }
 
 #[test]
-fn keys_that_were_never_read_are_rejected() {
+fn keys_that_were_not_read_are_rejected() {
     let document = Document::parse("f.hcl", "room = 1\nrom = 2\n").expect("valid HCL");
     let root = document.root();
     assert_eq!(root.integer("room", 0..=9), Ok(1));
-    assert_eq!(error_text(root.reject_unknown_keys()), "f.hcl:2:1: rom: is not known here; known are room");
+    assert_eq!(
+        error_text(root.reject_unknown_keys()),
+        "f.hcl:2:1: rom: unknown key or block; known here: room"
+    );
 }
 
 #[test]
-fn a_syntax_error_names_its_position() {
+fn syntax_errors_state_their_position() {
     let error = Document::parse("f.hcl", "a = 1\nb = = 2\n").err().expect("invalid HCL");
     assert!(error.to_string().starts_with("f.hcl:2:"), "{error}");
 }
--- a/crates/rehearse/src/tier/timeline/tests.rs
+++ b/crates/rehearse/src/tier/timeline/tests.rs
@@ -25,7 +25,7 @@
             "bad.hcl:2:13: step \"kill\".limiter: expected a whole number from 0 to 4, found 5",
         ),
         ("step \"burn\" {}\n", "expected step \"change\""),
-        ("step \"mend\" {\n  all = true\n}\n", "bad.hcl:2:3: step \"mend\".all: is not known here"),
+        ("step \"mend\" {\n  all = true\n}\n", "bad.hcl:2:3: step \"mend\".all: unknown key or block"),
     ] {
         std::fs::write(&path, text).expect("written");
         let told = read(&path, 5).expect_err("a fault").to_string();
--- a/crates/runtime-config/src/decode.rs
+++ b/crates/runtime-config/src/decode.rs
@@ -8,7 +8,7 @@
 
 use crate::{Class, Document, Micros, Plan, Provenance};
 
-/// Bytes of the shortest reason that explains anything.
+/// Minimum length of the reason for a version, in bytes.
 const MIN_REASON_LENGTH: usize = 8;
 const PARENT_RANGE: RangeInclusive<u64> = 0..=u32::MAX as u64;
 const RATE_RANGE: RangeInclusive<f64> = 0.001..=1e9;
@@ -16,13 +16,13 @@
 const PRICE_RANGE: RangeInclusive<f64> = 0.0..=1e6;
 const DEFAULT_PRICE: f64 = 1.0;
 
-/// Addresses of the services that limiters depend on; `None` keeps the configured ones.
+/// Addresses of the services that limiters depend on. `None` keeps the address that a limiter was configured with.
 struct Addresses {
     counter: Option<SocketAddr>,
     discovery: Option<SocketAddr>,
 }
 
-/// Decodes a parsed file, whose text becomes the document's.
+/// Decodes a parsed file. `text` is its source text, which the document keeps.
 pub fn decode_document(file: &sedgestack_hcl::Document, text: &str) -> Result<Document, ConfigError> {
     let root = file.root();
     let version = root.block("version")?;
@@ -49,10 +49,10 @@
         pinned: version.bool_or("pinned", false)?,
     };
     if provenance.author.trim().is_empty() {
-        return Err(version.error_at("author", "expected who made the change"));
+        return Err(version.error_at("author", "expected the name of the change's author"));
     }
     if provenance.reason.trim().len() < MIN_REASON_LENGTH {
-        return Err(version.error_at("reason", "expected a reason that others can follow"));
+        return Err(version.error_at("reason", "expected a reason that explains the change"));
     }
     Ok(provenance)
 }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Decodes all blocks of a kind, by label; each label may stand once.
+/// Decodes all blocks of a kind. Returns them by label, which must be unique.
 fn decode_named_blocks<T>(
     root: &Section<'_>,
     kind: &str,
@@ -94,7 +94,7 @@
 fn decode_class(block: &Section<'_>) -> Result<Class, ConfigError> {
     let class = Class { latency_objective: block.duration("aim")?, deadline: block.duration("deadline")? };
     if class.latency_objective == 0 || class.latency_objective > class.deadline {
-        return Err(block.error_at("aim", "expected a span over 0 and no longer than deadline"));
+        return Err(block.error_at("aim", "expected a duration above 0 and no longer than deadline"));
     }
     Ok(class)
 }
@@ -123,10 +123,11 @@
         return Ok(None);
     }
     let address = block.string(key)?.parse();
-    let expected = "expected an address with its port, as \"10.0.0.4:6400\"";
+    let expected = "expected an IP address and a port, such as \"10.0.0.4:6400\"";
     address.map(Some).map_err(|_| block.error_at(key, expected))
 }
 
+/// Returns an error if there is no block of a kind.
 fn reject_empty(root: &Section<'_>, kind: &str, is_empty: bool) -> Result<(), ConfigError> {
     if is_empty {
         return Err(root.error(format!("expected at least one block {kind} \"name\" {{ ... }}")));
--- a/crates/runtime-config/src/differences.rs
+++ b/crates/runtime-config/src/differences.rs
@@ -1,4 +1,4 @@
-//! Differences between two versions, described in words for people who don't edit the file themselves.
+//! Differences between two versions. Their descriptions are meant for people who don't edit the file themselves.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,27 +9,28 @@
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 const MICROS_PER_MILLISECOND: f64 = 1e3;
-/// How close a factor must be to a named one to be called by its name.
+// Largest distances from 0.5, 0.1 and 2 at which a factor is described as a half, a tenth or twice as much.
 const HALF_TOLERANCE: f64 = 0.005;
 const TENTH_TOLERANCE: f64 = 0.0005;
 const DOUBLE_TOLERANCE: f64 = 0.01;
 
-/// One value that differs.
+/// A value that differs between two versions.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
-    /// Its key, as `plan.faculdade.rate`.
+    /// Key of the value, such as `plan.faculdade.rate`.
     pub key: String,
-    /// The old value with its unit, as shown to people.
+    /// Old value with its unit, in a form for people.
     pub from: String,
-    /// The new value with its unit, as shown to people.
+    /// New value with its unit, in a form for people.
     pub to: String,
-    /// The new value divided by the old one, where both are numbers over 0.
+    /// New value divided by the old one, if both are numbers above 0.
     pub factor: Option<f64>,
-    /// The change as a sentence.
+    /// Description of the change.
     pub words: String,
 }
 
-/// Returns everything that differs, plans first.
+/// Returns all differences: plans first, then classes, limits and addresses. Plans and classes that are only in
+/// `before` are left out.
 pub fn differences(before: &Document, after: &Document) -> Vec<Difference> {
     let mut found = Vec::new();
     for (name, new) in &after.plans {
@@ -50,22 +51,22 @@
     found
 }
 
-/// Returns the plans that a change touches: those whose values differ, or all plans where a class, a limit or an
-/// address does.
+/// Returns the plans that a change affects: those whose values differ, or all plans if a class, a limit or an address
+/// differs.
 pub fn changed_plans(before: &Document, after: &Document) -> BTreeSet<String> {
     let changes = differences(before, after);
     let plans: Option<BTreeSet<String>> = changes.iter().map(plan_of).collect();
     plans.unwrap_or_else(|| after.plans.keys().cloned().collect())
 }
 
-/// The plan that a difference belongs to; `None` for any other difference.
+/// Returns the plan that a difference belongs to, or `None` if it does not belong to a plan.
 fn plan_of(change: &Difference) -> Option<String> {
     let key = change.key.strip_prefix("plan.")?;
     let name = key.rsplit_once('.').map_or(key, |(name, _)| name);
     Some(name.to_string())
 }
 
-/// Describes a factor in words.
+/// Returns a description of a change by `factor`.
 pub fn factor_in_words(factor: f64) -> String {
     if (factor - 0.5).abs() < HALF_TOLERANCE {
         "to a half".into()
@@ -88,11 +89,20 @@
 
 fn plan_differences(name: &str, old: &Plan, new: &Plan) -> Vec<Difference> {
     let key = |key: &str| format!("plan.{name}.{key}");
-    let rate = NumberChange { key: key("rate"), what: format!("{name}, rate"), from: old.rate, to: new.rate };
-    let burst =
-        NumberChange { key: key("burst"), what: format!("{name}, at once"), from: old.burst, to: new.burst };
-    let price =
-        NumberChange { key: key("price"), what: format!("{name}, worth"), from: old.price, to: new.price };
+    let rate =
+        NumberChange { key: key("rate"), description: format!("{name}, rate"), from: old.rate, to: new.rate };
+    let burst = NumberChange {
+        key: key("burst"),
+        description: format!("{name}, at once"),
+        from: old.burst,
+        to: new.burst,
+    };
+    let price = NumberChange {
+        key: key("price"),
+        description: format!("{name}, worth"),
+        from: old.price,
+        to: new.price,
+    };
     let differences = [
         rate.difference(|rate| format!("{rate} units/s")),
         burst.difference(|burst| format!("{burst} units")),
@@ -104,72 +114,72 @@
 fn class_differences(name: &str, old: &Class, new: &Class) -> Vec<Difference> {
     let latency_objective = NumberChange {
         key: format!("class.{name}.aim"),
-        what: format!("{name}, wanted within"),
+        description: format!("{name}, wanted within"),
         from: old.latency_objective as f64,
         to: new.latency_objective as f64,
     };
     let deadline = NumberChange {
         key: format!("class.{name}.deadline"),
-        what: format!("{name}, given up after"),
+        description: format!("{name}, given up after"),
         from: old.deadline as f64,
         to: new.deadline as f64,
     };
-    let differences = [latency_objective.difference(show_micros), deadline.difference(show_micros)];
+    let differences = [latency_objective.difference(format_micros), deadline.difference(format_micros)];
     differences.into_iter().flatten().collect()
 }
 
 fn retry_after_difference(from: Micros, to: Micros) -> Option<Difference> {
     let change = NumberChange {
         key: "limits.max_retry_after".to_string(),
-        what: "longest advice to come back".to_string(),
+        description: "longest advice to come back".to_string(),
         from: from as f64,
         to: to as f64,
     };
-    change.difference(show_micros)
+    change.difference(format_micros)
 }
 
 fn address_difference(
     key: &str,
-    what: &str,
+    description: &str,
     from: Option<SocketAddr>,
     to: Option<SocketAddr>,
 ) -> Option<Difference> {
-    let show = |address: Option<SocketAddr>| {
+    let format_value = |address: Option<SocketAddr>| {
         address.map_or("as configured".to_string(), |address| address.to_string())
     };
-    text_difference(key, what, show(from), show(to))
+    text_difference(key, description, format_value(from), format_value(to))
 }
 
-fn text_difference(key: &str, what: &str, from: String, to: String) -> Option<Difference> {
-    let words = format!("{what}: {from} to {to}");
+fn text_difference(key: &str, description: &str, from: String, to: String) -> Option<Difference> {
+    let words = format!("{description}: {from} to {to}");
     (from != to).then(|| Difference { key: key.into(), from, to, factor: None, words })
 }
 
-/// A number before and after.
+/// A number in the old and in the new version.
 struct NumberChange {
     key: String,
-    /// What the number is, in words.
-    what: String,
+    /// Description of the number.
+    description: String,
     from: f64,
     to: f64,
 }
 
 impl NumberChange {
-    /// The difference, if there is one, with numbers shown by `show`.
-    fn difference(self, show: impl Fn(f64) -> String) -> Option<Difference> {
-        let NumberChange { key, what, from, to } = self;
+    /// Returns the difference, if there is one, with its numbers formatted by `format_value`.
+    fn difference(self, format_value: impl Fn(f64) -> String) -> Option<Difference> {
+        let NumberChange { key, description, from, to } = self;
         if from == to {
             return None;
         }
         let factor = (from > 0.0 && to > 0.0).then(|| to / from);
         let by = factor.map(|factor| format!(", {}", factor_in_words(factor))).unwrap_or_default();
-        let (from, to) = (show(from), show(to));
-        let words = format!("{what}: {from} to {to}{by}");
+        let (from, to) = (format_value(from), format_value(to));
+        let words = format!("{description}: {from} to {to}{by}");
         Some(Difference { key, from, to, factor, words })
     }
 }
 
-fn show_micros(micros: f64) -> String {
+fn format_micros(micros: f64) -> String {
     let micros = micros as Micros;
     if micros.is_multiple_of(MICROS_PER_SECOND) {
         format!("{} s", micros / MICROS_PER_SECOND)
--- a/crates/runtime-config/src/lib.rs
+++ b/crates/runtime-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The runtime configuration: versioned documents of what may change in service, in HCL.
+//! The runtime configuration: versioned HCL documents with the values that may change while limiters are running.
 //!
-//! A [`Document`] holds plans, classes, limits and addresses. It is complete: it states everything that may change,
-//! not only what does. [`Document::check`] checks it against the version before it, and [`differences`] describes
-//! in words what changes. Limiters agree on a document's text, identified by its digest.
+//! A [`Document`] contains plans, classes, limits and addresses. It is always complete, not a list of changes.
+//! [`Document::check`] checks a document against the previous version, and [`differences`] describes in words what
+//! changes between two versions. Limiters agree on the text of a document, which its digest identifies.
 #![forbid(unsafe_code)]
 
 mod check;
@@ -18,62 +18,62 @@
 pub use sedgestack_consensus::Digest;
 pub use sedgestack_hcl::{ConfigError, Micros};
 
-/// A number that changes by more than this factor must be listed among the overrides.
+/// Largest factor by which a number may change between two versions without being listed in the overrides.
 pub const MAX_UNCONFIRMED_FACTOR: f64 = 2.0;
 
-/// Where a version comes from.
+/// Origin of a version, and how it is rolled out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Provenance {
-    /// The version that it replaces.
+    /// Version that this one replaces.
     pub parent: u64,
-    /// Who proposes the version.
+    /// Author of the version.
     pub author: String,
-    /// Why it is proposed, in words for the people who look it up later.
+    /// Why the version is proposed, for people who read the history later.
     pub reason: String,
-    /// Whether it goes through canary analysis, with automatic rollback.
+    /// Whether the version goes through canary analysis, with automatic rollback.
     pub has_canary_analysis: bool,
-    /// Whether it is only replaced where an operator forces it.
+    /// Whether only a forced change can replace the version.
     pub pinned: bool,
 }
 
-/// What a plan allows each of its customers.
+/// Quota of each customer of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second.
+    /// Rate of the customer's token bucket, in units per second.
     pub rate: f64,
-    /// Units at once: the capacity of the customer's token bucket.
+    /// Capacity of the customer's token bucket, in units.
     pub burst: f64,
-    /// Factor on the worth of an answered unit, relative to other plans.
+    /// Factor on the value of each unit served, relative to other plans.
     pub price: f64,
 }
 
 /// Time limits of a request class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// Time in microseconds within which an answer counts in full.
+    /// Time in microseconds within which an answer has its full value.
     pub latency_objective: Micros,
-    /// Time in microseconds after which a request is no longer worth an answer.
+    /// Time in microseconds after which an answer has no value.
     pub deadline: Micros,
 }
 
 /// One version of the runtime configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
-    /// Who proposed the version and why, and which version it replaces.
+    /// Origin of the version, and how it is rolled out.
     pub provenance: Provenance,
     /// Plans by name.
     pub plans: BTreeMap<String, Plan>,
     /// Request classes by name.
     pub classes: BTreeMap<String, Class>,
-    /// Longest Retry-After of a rejection, in microseconds; 0 where none is passed on.
+    /// Longest Retry-After of a rejection, in microseconds; 0 if rejections carry no Retry-After.
     pub max_retry_after: Micros,
-    /// The quota counter's address; `None` keeps the configured one.
+    /// Address of the quota counter; `None` keeps the address that the limiter was configured with.
     pub counter: Option<SocketAddr>,
-    /// The address of discovery; `None` keeps the configured one.
+    /// Address of discovery; `None` keeps the address that the limiter was configured with.
     pub discovery: Option<SocketAddr>,
-    /// Keys whose change is intended, however large.
+    /// Keys whose numbers may change by more than [`MAX_UNCONFIRMED_FACTOR`].
     pub overrides: Vec<String>,
-    /// The source text, byte for byte: limiters agree on it.
+    /// Source text, byte for byte, as limiters agree on it.
     pub text: String,
 }
 
@@ -81,7 +81,7 @@
     /// Reads and decodes a file.
     ///
     /// # Errors
-    /// Names the file, line, column and key, and what was expected there.
+    /// Returns an error if the file can't be read, is not valid HCL, or has a missing, unknown or invalid value.
     pub fn read(path: &Path) -> Result<Document, ConfigError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -89,29 +89,30 @@
         Document::parse(&file, &text)
     }
 
-    /// Decodes a text; errors name `file`.
+    /// Decodes `text`. `file` is the name that error messages show for it.
     ///
     /// # Errors
-    /// As [`Document::read`].
+    /// Returns an error if the text is not valid HCL, or has a missing, unknown or invalid value.
     pub fn parse(file: &str, text: &str) -> Result<Document, ConfigError> {
         decode::decode_document(&sedgestack_hcl::Document::parse(file, text)?, text)
     }
 
-    /// The digest of the text, which identifies the document among limiters.
+    /// Returns the digest of the text, by which limiters identify the document.
     pub fn digest(&self) -> Digest {
         Digest::of(self.text.as_bytes())
     }
 
-    /// Checks a version against the one before it. Returns every error, placed in `file`.
+    /// Checks the document against `before`, the previous version. Returns all errors, with positions in `file`.
     ///
-    /// A plan or class can't be removed, as customers may be on it; a number that changes by more than
-    /// [`MAX_UNCONFIRMED_FACTOR`] must be listed among the overrides; an override of a key that doesn't change is an
-    /// error, and so is a version that changes nothing.
+    /// - A plan or class can't be removed, as customers may be using it.
+    /// - A number that changes by more than [`MAX_UNCONFIRMED_FACTOR`] must be listed in the overrides.
+    /// - A key in the overrides must change.
+    /// - A version must change a value, or whether it is pinned.
     pub fn check(&self, file: &str, before: &Document) -> Vec<ConfigError> {
         check::check_against(self, file, before)
     }
 
-    /// The text of the first version, with the values that a limiter was configured with. The same values give the
+    /// Returns the text of the first version, with the values that a limiter was configured with. Equal values give the
     /// same text at every limiter.
     pub fn text_from_configuration(
         plans: &BTreeMap<String, Plan>,
@@ -121,13 +122,13 @@
         text::first_version(plans, classes, max_retry_after)
     }
 
-    /// The text of a next version with the same values and no canary analysis, by which an operator keeps the active
-    /// version.
+    /// Returns the text of a next version with the same values and without canary analysis. With it an operator keeps
+    /// the active values, pins them or unpins them.
     pub fn text_of_held_version(&self, parent: u64, pinned: bool) -> String {
         text::held_version(self, parent, pinned)
     }
 
-    /// Whether another document has the same values.
+    /// Whether `other` has the same plans, classes, limits and addresses.
     pub fn has_same_values(&self, other: &Document) -> bool {
         differences(self, other).is_empty() && differences(other, self).is_empty()
     }
--- a/crates/runtime-config/src/text.rs
+++ b/crates/runtime-config/src/text.rs
@@ -1,13 +1,13 @@
-//! Texts of documents that limiters write themselves.
+//! Texts of documents that limiters generate.
 //!
-//! Limiters agree on a document by the digest of its text, so every limiter must produce the same bytes from the
+//! Limiters agree on a document by the digest of its text, so every limiter must generate the same bytes from the
 //! same values.
 
 use std::collections::BTreeMap;
 
 use crate::{Class, Document, Micros, Plan};
 
-/// The text of the first version, with the values that the limiters were configured with.
+/// Returns the text of the first version, with the values that the limiters were configured with.
 pub fn first_version(
     plans: &BTreeMap<String, Plan>,
     classes: &BTreeMap<String, Class>,
@@ -17,7 +17,7 @@
     header.to_string() + &blocks(plans, classes, max_retry_after)
 }
 
-/// The text of a next version with the values of `document` and no canary analysis.
+/// Returns the text of a next version with the values of `document` and without canary analysis.
 pub fn held_version(document: &Document, parent: u64, pinned: bool) -> String {
     let reason = match (pinned, document.provenance.pinned) {
         (true, _) => "pinned by an operator",
@@ -31,6 +31,7 @@
     header + &blocks(&document.plans, &document.classes, document.max_retry_after)
 }
 
+/// Returns the blocks that follow the block `version`.
 fn blocks(
     plans: &BTreeMap<String, Plan>,
     classes: &BTreeMap<String, Class>,
--- a/crates/runtime-config/tests/documents.rs
+++ b/crates/runtime-config/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Decoding of documents and checks against the version before, with errors that name their place.
+//! Decoding of documents and checks against the previous version, with the positions of errors.
 
 use sedgestack_fleet::Fleet;
 use sedgestack_runtime_config::{differences, Document};
@@ -50,17 +50,17 @@
 }
 
 #[test]
-fn an_unconfirmed_large_change_is_an_error_at_its_value() {
+fn unconfirmed_large_change_is_rejected() {
     let errors = check_errors(&next_version("rate  = 5.3", "rate  = 0.53"));
     assert_eq!(
         errors,
         ["next.hcl:14:11: plan \"faculdade\".rate: changes to a tenth (from 5.3 units/s to 0.53 units/s); expected a \
-          factor of 2 at most, or \"plan.faculdade.rate\" among version.overrides"]
+          factor of at most 2, or \"plan.faculdade.rate\" in version.overrides"]
     );
 }
 
 #[test]
-fn a_large_change_passes_with_its_override_and_an_idle_override_is_an_error() {
+fn override_confirms_large_change_and_unused_override_is_rejected() {
     let text = FIRST.replacen("rate  = 5.3", "rate  = 53", 1).replacen(
         "today\"",
         "today\"\n  overrides = [\"plan.faculdade.rate\"]",
@@ -68,13 +68,13 @@
     );
     let confirmed = Document::parse("next.hcl", &text).expect("the version decodes");
     assert_eq!(check_errors(&confirmed), Vec::<String>::new());
-    let idle = next_version("today\"", "today\"\n  overrides = [\"plan.basico.rate\"]");
-    assert!(check_errors(&idle)[0]
+    let unused = next_version("today\"", "today\"\n  overrides = [\"plan.basico.rate\"]");
+    assert!(check_errors(&unused)[0]
         .contains("next.hcl:5:15: version.overrides: overrides plan.basico.rate, which does not"));
 }
 
 #[test]
-fn removed_plans_and_versions_without_changes_are_errors() {
+fn removed_plans_and_versions_without_changes_are_rejected() {
     let without_plan = next_version("plan \"basico\"", "plan \"novo\"");
     assert!(check_errors(&without_plan)
         .iter()
@@ -83,18 +83,17 @@
 }
 
 #[test]
-fn decoding_errors_name_their_place() {
+fn decoding_errors_state_their_position() {
     let error = |from: &str, to: &str| {
         Document::parse("f.hcl", &FIRST.replacen(from, to, 1)).expect_err("an error").to_string()
     };
     assert!(error("aim      = \"800ms\"", "").contains("class \"report-read\".aim: is missing"));
-    assert!(
-        error("\"800ms\"", "\"800\"").starts_with("f.hcl:20:14: class \"report-read\".aim: expected a span")
-    );
+    assert!(error("\"800ms\"", "\"800\"")
+        .starts_with("f.hcl:20:14: class \"report-read\".aim: expected a duration"));
     assert!(error("\"800ms\"", "\"9s\"").contains("no longer than deadline"));
-    assert!(error("price = 1.3", "prize = 1.3").contains("plan \"faculdade\".prize: is not known here"));
+    assert!(error("price = 1.3", "prize = 1.3").contains("plan \"faculdade\".prize: unknown key or block"));
     assert!(
-        error("127.0.0.1:6400", "localhost").contains("addresses.counter: expected an address with its port")
+        error("127.0.0.1:6400", "localhost").contains("addresses.counter: expected an IP address and a port")
     );
     assert!(error("as the fleet runs today", "because").contains("version.reason: expected a reason"));
     assert!(error("plan \"faculdade\"", "plan \"basico\"").contains("a name that no other plan has"));
@@ -123,7 +122,7 @@
 }
 
 #[test]
-fn a_fleet_takes_the_values_of_a_version() {
+fn fleet_applies_the_values_of_a_version() {
     let text = include_str!("../../../deploy/fleet-sample.hcl");
     let fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample is valid");
     let changed_fleet = fleet.with_rules(&next_version("rate  = 5.3", "rate  = 4"));
--- a/src/net/config/settings/tests.rs
+++ b/src/net/config/settings/tests.rs
@@ -20,7 +20,7 @@
     let error = parse(text).err().expect("an error");
     assert_eq!(error, "ours.hcl:3:9: capture.key: expected 32 hex digits, the same at every limiter");
     let error = parse("log {\n  form = \"json\"\n}\n").err().expect("an error");
-    assert!(error.starts_with("ours.hcl:2:3: log.form: is not known here"), "{error}");
+    assert!(error.starts_with("ours.hcl:2:3: log.form: unknown key or block"), "{error}");
 }
 
 #[test]
