--- a/crates/store/src/encoding/tests.rs
+++ b/crates/store/src/encoding/tests.rs
@@ -1,16 +1,16 @@
-//! The encoding of a stored value.
+//! Encoding of a stored value, and decoding of damaged ones.
 
 use super::*;
 
 #[test]
-fn a_value_is_decoded_only_whole_and_of_a_known_format() {
-    let encoded = encode(b"what was promised");
-    assert_eq!(decode(&encoded), Ok(b"what was promised".to_vec()));
+fn decode_rejects_damaged_values_and_unknown_formats() {
+    let encoded = encode(b"the stored value");
+    assert_eq!(decode(&encoded), Ok(b"the stored value".to_vec()));
     assert!(matches!(decode(&encoded[..9]), Err(UnusableFile::Corrupt(_))));
-    let mut flipped = encoded.clone();
-    flipped[20] ^= 1;
-    assert_eq!(decode(&flipped), Err(UnusableFile::ChecksumMismatch));
-    let mut later = encoded;
-    later[0] = 2;
-    assert_eq!(decode(&later), Err(UnusableFile::UnknownFormat(2)));
+    let mut corrupted = encoded.clone();
+    corrupted[20] ^= 1;
+    assert_eq!(decode(&corrupted), Err(UnusableFile::ChecksumMismatch));
+    let mut newer = encoded;
+    newer[0] = 2;
+    assert_eq!(decode(&newer), Err(UnusableFile::UnknownFormat(2)));
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,39 +1,39 @@
-//! Why a file, or the store itself, can't be used.
+//! Errors of files and of the store.
 
 use std::path::{Path, PathBuf};
 
 use crate::encoding::FORMAT_VERSION;
 
-/// Why a file could not be used.
+/// Why a file can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnusableFile {
-    /// redb can't read it, or the value is shorter than its header.
-    #[error("it is torn, or no file of this program: {0}")]
+    /// redb can't read the file, or the stored value is shorter than its header.
+    #[error("the file is corrupt or was not written by this program: {0}")]
     Corrupt(String),
-    /// A later release wrote it.
-    #[error("its format {0} is later than {FORMAT_VERSION}, the latest known here")]
+    /// A newer release wrote the file.
+    #[error("its format version {0} is newer than {FORMAT_VERSION}, the newest supported one")]
     UnknownFormat(u8),
-    /// The value is another than the one that was saved.
-    #[error("its check sum is wrong")]
+    /// The value does not match its checksum.
+    #[error("its checksum does not match")]
     ChecksumMismatch,
 }
 
-/// What went wrong with a store.
+/// Why opening a store or saving a value failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreFailure {
     /// Another process has the file open.
-    #[error("another process holds it")]
+    #[error("another process has the file open")]
     Locked,
-    /// The file can't be used, and can't be renamed either.
-    #[error("{reason}; to set it aside: {error}")]
+    /// The file can't be used, and renaming it failed.
+    #[error("{reason}; renaming the file failed: {error}")]
     Quarantine {
-        /// Why it can't be used.
+        /// Why the file can't be used.
         reason: UnusableFile,
-        /// Why it can't be renamed.
+        /// Why renaming it failed.
         error: std::io::Error,
     },
-    /// No file can be created in place of one that was renamed.
-    #[error("a new file can't be begun")]
+    /// Creating a new file in place of a renamed one failed.
+    #[error("a new file can't be created")]
     NewFile,
     /// A write could not be started.
     #[error(transparent)]
@@ -49,15 +49,15 @@
     Commit(#[from] redb::CommitError),
 }
 
-/// Why a store can't be used, and which one.
+/// An error of a store, with the path of its file.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {failure}", path = .path.display())]
 pub struct StoreError {
-    /// The store's file.
+    /// Path of the store's file.
     pub path: PathBuf,
-    /// What went wrong.
+    /// What failed.
     pub failure: StoreFailure,
-    /// Whether another process has the file open: it may release it, so a later attempt may do.
+    /// Whether another process has the file open. It may close the file, so a later attempt may succeed.
     pub locked: bool,
 }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,10 @@
-//! One value that is kept across restarts, in a redb file.
+//! Persistence of one value across restarts, in a redb file.
 //!
-//! A write is durable when [`Store::save`] returns, and leaves either the value before or the new one. A file that
-//! can't be used is never written over: [`Store::open`] renames it beside itself, says why, and begins a new one.
-//! The value carries its format and a checksum, so that a file of a later release or of another program is told apart.
+//! [`Store::save`] is atomic, and durable when it returns: after a crash the file has either the previous value or the
+//! new one. A file that can't be used is never overwritten: [`Store::open`] renames it, reports why, and creates a new
+//! file.
+//! The value is stored with its format and a checksum, so that files of newer releases and of other programs are
+//! detected.
 #![forbid(unsafe_code)]
 
 mod encoding;
@@ -19,32 +21,32 @@
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("sedgestack");
 const KEY: &str = "value";
 
-/// A file that could not be used and was renamed.
+/// A file that can't be used and was renamed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantinedFile {
-    /// Its new path.
+    /// New path of the file.
     pub moved_to: PathBuf,
-    /// Why it could not be used.
+    /// Why the file can't be used.
     pub reason: UnusableFile,
 }
 
-/// An open store; no other process can open its file meanwhile.
+/// An open store. No other process can open its file at the same time.
 pub struct Store {
     path: PathBuf,
     file: Database,
 }
 
-/// What [`Store::open`] found.
+/// Result of [`Store::open`].
 pub struct OpenedStore {
-    /// The store.
+    /// The open store.
     pub store: Store,
-    /// The value that was saved last; none in a new file.
+    /// The value that was last saved; `None` in a new file.
     pub value: Option<Vec<u8>>,
-    /// The file that was in the way.
+    /// The file that was renamed because it can't be used.
     pub quarantined: Option<QuarantinedFile>,
 }
 
-/// A file that was read.
+/// An open file and its value.
 struct ReadFile {
     file: Database,
     value: Option<Vec<u8>>,
@@ -52,7 +54,7 @@
 
 /// Why a file could not be read.
 enum ReadError {
-    /// Another process has it open.
+    /// Another process has the file open.
     Locked,
     Unusable(UnusableFile),
 }
@@ -63,7 +65,7 @@
     }
 }
 
-/// Opens a file, which is created where there is none, and reads its value.
+/// Opens a file, creating it if it does not exist, and reads its value.
 fn read(path: &Path) -> Result<ReadFile, ReadError> {
     let file = Database::create(path).map_err(|error| match error {
         redb::DatabaseError::DatabaseAlreadyOpen => ReadError::Locked,
@@ -80,20 +82,20 @@
     Ok(ReadFile { file, value })
 }
 
-/// As [`read`], with panics as errors: redb takes some of what it finds in a file that was cut short to be impossible.
+/// Like [`read`], but returns an error if redb panics: it takes some states of a truncated file to be impossible.
 fn read_catching_panics(path: &Path) -> Result<ReadFile, ReadError> {
     std::panic::catch_unwind(|| read(path))
-        .unwrap_or_else(|_| Err(ReadError::corrupt("its pages do not fit its length or each other")))
+        .unwrap_or_else(|_| Err(ReadError::corrupt("its pages do not match its length or each other")))
 }
 
-/// The first free path for a file that is renamed: `.aside-1` behind its own, or the next number.
+/// Returns the first unused path for renaming a file: `path` with `.aside-1` appended, or `.aside-2` and so on.
 fn quarantine_path(path: &Path) -> PathBuf {
-    let numbered = |number: u32| {
+    let with_number = |number: u32| {
         let mut name = path.as_os_str().to_owned();
         name.push(format!(".aside-{number}"));
         PathBuf::from(name)
     };
-    (1..).map(numbered).find(|free| !free.exists()).expect("numbers do not end")
+    (1..).map(with_number).find(|candidate| !candidate.exists()).expect("the range of numbers is unlimited")
 }
 
 /// Renames a file that can't be used.
@@ -106,11 +108,11 @@
 }
 
 impl Store {
-    /// Opens the file at `path`, which need not be there. One that can't be used is renamed to `path` with
-    /// `.aside-1` behind it (or the next number that is free) and a new one is begun.
+    /// Opens the file at `path`, creating it if it does not exist. If the file can't be used, renames it to `path` with
+    /// `.aside-1` appended (or the next unused number) and creates a new one.
     ///
     /// # Errors
-    /// Where another process has the file open, or neither it nor a new one can be used.
+    /// Returns an error if another process has the file open, or if the file can't be used and can't be replaced.
     pub fn open(path: &Path) -> Result<OpenedStore, StoreError> {
         let failed = |failure| StoreError::new(path, failure);
         let opened = |read: ReadFile, quarantined| OpenedStore {
@@ -128,10 +130,10 @@
         Ok(opened(new, Some(quarantined)))
     }
 
-    /// Replaces the value; on return it survives a crash of program and machine.
+    /// Replaces the value. Once this returns, the new value survives a crash of the process or the machine.
     ///
     /// # Errors
-    /// Where it can't be written; the value before is still there.
+    /// Returns an error if the value can't be written. The previous value is then unchanged.
     pub fn save(&self, value: &[u8]) -> Result<(), StoreError> {
         self.write(value).map_err(|failure| StoreError::new(&self.path, failure))
     }
--- a/crates/store/tests/compatibility.rs
+++ b/crates/store/tests/compatibility.rs
@@ -1,5 +1,4 @@
-//! A file that an earlier release left is taken up, and that release can read what is written now: a store must survive
-//! an upgrade and the way back.
+//! Compatibility with files of earlier releases in both directions: a store must survive an upgrade and a downgrade.
 
 use std::path::{Path, PathBuf};
 
@@ -7,48 +6,52 @@
 use sedgestack_store::Store;
 use tempfile::TempDir;
 
-/// A file as a release leaves it after two saves; zstd-compressed, as most of it is empty.
+/// A file that an earlier release wrote in two saves, compressed with zstd because most of it is empty.
 const RECORDED: &[u8] = include_bytes!("fixtures/store.redb.zst");
-/// Room for the file unpacked, bytes.
-const LONGEST: usize = 16 << 20;
+/// Maximum size of the decompressed file, in bytes.
+const MAX_FILE_SIZE: usize = 16 << 20;
 
-/// The value that was saved last: longer than a page.
-fn value() -> Vec<u8> {
+/// The value that was last saved in the recorded file. It is longer than a page.
+fn recorded_value() -> Vec<u8> {
     (0..10_000u32).map(|n| (n / 7) as u8).collect()
 }
 
-fn recorded(folder: &TempDir) -> PathBuf {
-    let path = folder.path().join("recorded.redb");
-    let file = zstd::bulk::decompress(RECORDED, LONGEST).expect("the fixture is whole");
-    std::fs::write(&path, file).expect("written");
+/// Writes the recorded file into a directory and returns its path.
+fn write_recorded_file(directory: &TempDir) -> PathBuf {
+    let path = directory.path().join("recorded.redb");
+    let file = zstd::bulk::decompress(RECORDED, MAX_FILE_SIZE).expect("the fixture can be decompressed");
+    std::fs::write(&path, file).expect("the file can be written");
     path
 }
 
-/// The bytes in the file's table, with what the store puts before a value.
-fn sealed(path: &Path) -> Vec<u8> {
+/// Returns the encoded value in the file's table: the value with its format and checksum.
+fn encoded_value(path: &Path) -> Vec<u8> {
     let table: TableDefinition<&str, &[u8]> = TableDefinition::new("sedgestack");
-    let file = Database::create(path).expect("it is a redb file");
-    let reading = file.begin_read().expect("it can be read");
-    let table = reading.open_table(table).expect("the table is there");
-    let found = table.get("value").expect("it can be read").expect("the value is there");
+    let file = Database::create(path).expect("a valid redb file");
+    let transaction = file.begin_read().expect("the file can be read");
+    let table = transaction.open_table(table).expect("the table exists");
+    let found = table.get("value").expect("the table can be read").expect("the value exists");
     found.value().to_vec()
 }
 
 #[test]
-fn a_recorded_file_gives_its_value_and_is_not_set_aside() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = recorded(&folder);
-    let opened = Store::open(&path).expect("it is there");
-    assert_eq!((opened.value, opened.quarantined), (Some(value()), None));
-    opened.store.save(b"the next value").expect("saved");
+fn recorded_file_is_readable() {
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let path = write_recorded_file(&directory);
+    let opened = Store::open(&path).expect("the file can be opened");
+    assert_eq!((opened.value, opened.quarantined), (Some(recorded_value()), None));
+    opened.store.save(b"the next value").expect("the value can be saved");
     drop(opened.store);
-    assert_eq!(Store::open(&path).expect("it is there").value.as_deref(), Some(&b"the next value"[..]));
+    assert_eq!(
+        Store::open(&path).expect("the file can be opened").value.as_deref(),
+        Some(&b"the next value"[..])
+    );
 }
 
 #[test]
-fn a_value_is_written_as_recorded() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("new.redb");
-    Store::open(&path).expect("a new file").store.save(&value()).expect("saved");
-    assert_eq!(sealed(&path), sealed(&recorded(&folder)));
+fn encoding_is_unchanged() {
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let path = directory.path().join("new.redb");
+    Store::open(&path).expect("a new file").store.save(&recorded_value()).expect("the value can be saved");
+    assert_eq!(encoded_value(&path), encoded_value(&write_recorded_file(&directory)));
 }
