--- a/tests/limiter/bad_input.rs
+++ b/tests/limiter/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad bytes at the operators' address and on the peers' socket: they cost their own connection alone, nobody else's
-//! answer, and no memory.
+//! Invalid bytes at the address for admin calls and on the socket for peer messages. They may only close their own
+//! connection: other calls and requests are still answered, and memory stays within its limit.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream, UdpSocket};
@@ -9,13 +9,13 @@
 
 use crate::harness::*;
 
-/// What the platform allows a limiter, KB.
+/// Memory limit of a limiter, in KB.
 const MEMORY_LIMIT_KB: u64 = 32 << 10;
-/// Bytes poured where something endless is sent.
-const POURED_BYTES: usize = 8 << 20;
+/// Number of bytes sent as an endless line.
+const ENDLESS_LINE_BYTES: usize = 8 << 20;
 
-/// Calls that are no calls.
-fn bad_calls() -> Vec<Vec<u8>> {
+/// Returns invalid admin calls.
+fn invalid_calls() -> Vec<Vec<u8>> {
     let long_path = format!("GET /admin/{} HTTP/1.1\r\n\r\n", "x".repeat(200_000));
     let long_name = format!("PUT /admin/cordon?name={} HTTP/1.1\r\n\r\n", "s".repeat(60_000));
     let many_headers = format!("GET /admin/health HTTP/1.1\r\n{}\r\n", "X-A: b\r\n".repeat(5_000));
@@ -36,85 +36,85 @@
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(address).expect("it accepts");
-    stream.set_read_timeout(Some(HUNG)).expect("a time-out is set");
-    stream.set_write_timeout(Some(Duration::from_millis(200))).expect("a time-out is set");
+    let stream = TcpStream::connect(address).expect("the limiter accepts");
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("the timeout can be set");
+    stream.set_write_timeout(Some(Duration::from_millis(200))).expect("the timeout can be set");
     stream
 }
 
-/// The limiter still answers operators and clients, within its memory.
-fn still_serves(limiter: &Limiter, what: &str) {
-    assert_eq!(limiter.call("GET", "health").status(), 200, "{what}");
-    assert_eq!(limiter.ask(&read("large", 1)).status(), 200, "{what}");
-    let peak_kb = limiter.status("VmHWM");
-    assert!(peak_kb < MEMORY_LIMIT_KB, "{what}: {peak_kb} KB");
+/// Asserts that the limiter still answers operators and clients, and stays within its memory limit.
+fn expect_still_serving(limiter: &Limiter, case: &str) {
+    assert_eq!(limiter.call_admin("GET", "health").status(), 200, "{case}");
+    assert_eq!(limiter.request(&get_request("large", 1)).status(), 200, "{case}");
+    let peak_kb = limiter.proc_status("VmHWM");
+    assert!(peak_kb < MEMORY_LIMIT_KB, "{case}: {peak_kb} KB");
 }
 
 #[test]
-fn bad_bytes_at_the_operators_address_cost_their_own_connection_alone() {
-    let backend = Destination::answering("a report");
+fn invalid_admin_calls_do_not_affect_other_connections() {
+    let backend = Backend::answering("a report");
     let (discovery, _push) = discovery();
-    let (counter, _) = counter(true);
+    let (counter, _) = quota_counter(true);
     let mut config = config(discovery, counter, vec![backend.entry("s-1", "Ready")]);
     config["ops"] = json!("127.0.0.1:0");
     let limiter = Limiter::start(&config);
-    limiter.until_ready();
-    let ops = limiter.ops.expect("it has the address");
-    for call in bad_calls() {
-        let what = String::from_utf8_lossy(&call[..call.len().min(60)]).into_owned();
-        // Whole at once, then closed for writing; the limiter may close before it has read all.
+    limiter.wait_until_ready();
+    let ops = limiter.ops.expect("the limiter has an address for admin calls");
+    for call in invalid_calls() {
+        let case = String::from_utf8_lossy(&call[..call.len().min(60)]).into_owned();
+        // The whole call in one write, followed by the end of the stream. The limiter may close before it has read all.
         let mut stream = connect(ops);
         let _ = stream.write_all(&call);
         let _ = stream.shutdown(Shutdown::Write);
-        still_serves(&limiter, &what);
+        expect_still_serving(&limiter, &case);
         let _ = stream.read_to_end(&mut Vec::new());
-        // Half of it, byte by byte, and never the rest.
-        let mut held = connect(ops);
+        // The first bytes one by one, and never the rest.
+        let mut incomplete = connect(ops);
         for byte in call.iter().take(40) {
-            let _ = held.write_all(&[*byte]);
+            let _ = incomplete.write_all(&[*byte]);
         }
-        still_serves(&limiter, &what);
+        expect_still_serving(&limiter, &case);
     }
     let mut endless = connect(ops);
-    let mut poured = 0;
-    while poured < POURED_BYTES && endless.write_all(&[b'x'; 4096]).is_ok() {
-        poured += 4096;
+    let mut sent = 0;
+    while sent < ENDLESS_LINE_BYTES && endless.write_all(&[b'x'; 4096]).is_ok() {
+        sent += 4096;
     }
-    still_serves(&limiter, "a line without end");
+    expect_still_serving(&limiter, "an endless line");
 }
 
-/// A free address, which the limiter gets a moment later.
+/// Returns a free address, for the limiter to bind a moment later.
 fn free_udp_address() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback has a port");
-    socket.local_addr().expect("it is bound")
+    socket.local_addr().expect("the socket is bound")
 }
 
 #[test]
-fn bad_datagrams_cost_nobody_an_answer() {
-    let backend = Destination::answering("a report");
+fn invalid_datagrams_do_not_affect_requests() {
+    let backend = Backend::answering("a report");
     let (discovery, _push) = discovery();
-    let (counter, _) = counter(true);
+    let (counter, _) = quota_counter(true);
     let listen = free_udp_address();
     let peer = UdpSocket::bind("127.0.0.1:0").expect("loopback has a port");
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("loopback has a port");
     let mut config = config(discovery, counter, vec![backend.entry("s-1", "Ready")]);
     config["ops"] = json!("127.0.0.1:0");
     config["peer_listen"] = json!(listen.to_string());
-    config["peers"] = json!([peer.local_addr().expect("it is bound").to_string()]);
+    config["peers"] = json!([peer.local_addr().expect("the socket is bound").to_string()]);
     config["settings"]["caps"]["peerMessages"] = json!(true);
     let limiter = Limiter::start(&config);
-    limiter.until_ready();
-    let digits: Vec<u8> = (0..=255).collect();
+    limiter.wait_until_ready();
+    let all_bytes: Vec<u8> = (0..=255).collect();
     for length in [0, 1, 2, 3, 7, 64, 255, 256] {
         for socket in [&peer, &stranger] {
-            for bytes in [&digits[..length], &vec![0xff; length], &vec![0; length]] {
-                socket.send_to(bytes, listen).expect("loopback takes it");
+            for bytes in [&all_bytes[..length], &vec![0xff; length], &vec![0; length]] {
+                socket.send_to(bytes, listen).expect("loopback accepts the datagram");
             }
         }
     }
-    // Longer than any that limiters send, and many of them.
+    // Many datagrams longer than any that limiters send.
     for _ in 0..2_000 {
-        stranger.send_to(&[b'x'; 9_000], listen).expect("loopback takes it");
+        stranger.send_to(&[b'x'; 9_000], listen).expect("loopback accepts the datagram");
     }
-    still_serves(&limiter, "datagrams");
+    expect_still_serving(&limiter, "datagrams");
 }
--- a/tests/limiter/client_leaves.rs
+++ b/tests/limiter/client_leaves.rs
@@ -1,4 +1,4 @@
-//! A client that has gone: whatever its request waits for, nothing is sent on for it any more.
+//! Clients that disconnect while their requests wait. The limiter must not send such a request to a backend afterwards.
 
 use std::net::Shutdown;
 use std::sync::mpsc::channel;
@@ -9,124 +9,122 @@
 use crate::harness::*;
 use crate::script::{reset, Unopened};
 
-/// How a client goes.
-const WAYS: [fn(Client); 2] = [drop, |client| reset(client.into_stream())];
+/// Ways in which a client disconnects: by closing the connection and by a reset.
+const DISCONNECTS: [fn(Client); 2] = [drop, |client| reset(client.into_stream())];
 
-/// A configuration with a long wait for connections.
-fn patient(servers: Vec<Value>) -> (Value, std::sync::mpsc::Sender<Value>) {
+/// Returns a configuration with a long connect timeout, and the sender of endpoint lists.
+fn config_with_long_connect_timeout(servers: Vec<Value>) -> (Value, std::sync::mpsc::Sender<Value>) {
     let (discovery, push) = discovery();
-    let (counter, _) = counter(true);
+    let (counter, _) = quota_counter(true);
     let mut config = config(discovery, counter, servers);
     config["settings"]["caps"]["connectTimeoutMs"] = json!(7000.0);
     (config, push)
 }
 
-/// The class's other requests go on: one of another client is served after what was forced, and only it came.
-fn only_the_next_comes(limiter: &Limiter, destination: &Destination) {
-    let next = read("large", 1);
-    assert_eq!(limiter.ask(&next).status(), 200);
+/// Asserts that the next request of another client is served, and that the backend got no other request.
+fn expect_only_next_request(limiter: &Limiter, backend: &Backend) {
+    let next = get_request("large", 1);
+    assert_eq!(limiter.request(&next).status(), 200);
     let id = |text: &str| text.lines().find_map(|l| l.strip_prefix("X-Request-Id: ").map(str::to_string));
-    let came: Vec<_> =
-        destination.seen().iter().map(|m| m.header("x-request-id").map(str::to_string)).collect();
-    assert_eq!(came, [id(&next)]);
+    let received: Vec<_> =
+        backend.take_requests().iter().map(|m| m.header("x-request-id").map(str::to_string)).collect();
+    assert_eq!(received, [id(&next)]);
 }
 
-/// The connection for its attempt comes up after the client has gone.
+/// The connection for the attempt is established after the client has disconnected.
 #[test]
-fn an_attempt_whose_dial_is_late_is_not_begun_for_a_client_that_left() {
-    for go in WAYS {
+fn attempt_on_late_connection_is_canceled_after_client_disconnect() {
+    for disconnect in DISCONNECTS {
         let unopened = Unopened::listen();
         let entry = entry(unopened.address, "s-1", "Ready", 0);
-        let (config, _push) = patient(vec![entry]);
+        let (config, _push) = config_with_long_connect_timeout(vec![entry]);
         let mut limiter = Limiter::start(&config);
         let mut client = limiter.connect();
-        client.write(&read("large", 1));
-        limiter.until(|count| count("dials") == 1);
-        go(client);
-        limiter.until(|count| count("abandoned") == 1);
-        let destination = Destination::on(unopened.open(), |stream| ok(stream, "a report"));
-        limiter.until(|count| {
+        client.write(&get_request("large", 1));
+        limiter.wait_for_counters(|count| count("dials") == 1);
+        disconnect(client);
+        limiter.wait_for_counters(|count| count("abandoned") == 1);
+        let backend = Backend::start_on(unopened.open(), |stream| respond_ok(stream, "a report"));
+        limiter.wait_for_counters(|count| {
             count("attempts_canceled") + count("attempts_ok") + count("attempts_connect_failed") == 1
         });
-        only_the_next_comes(&limiter, &destination);
+        expect_only_next_request(&limiter, &backend);
     }
 }
 
-/// The client's end stands behind bytes of a next request, which nobody reads while the first is held.
+/// The end of the client's connection follows bytes of a second request, which are not read while the first one waits.
 #[test]
-fn a_waiting_request_is_not_sent_on_for_a_client_that_left_behind_more_bytes() {
-    for go in WAYS {
-        let destination = Destination::answering("a report");
-        let (config, push) = patient(vec![]);
+fn disconnect_behind_unread_bytes_abandons_the_waiting_request() {
+    for disconnect in DISCONNECTS {
+        let backend = Backend::answering("a report");
+        let (config, push) = config_with_long_connect_timeout(vec![]);
         let mut limiter = Limiter::start(&config);
         let mut client = limiter.connect();
-        client.write(&(read("large", 1) + "GET /read/0000"));
-        limiter.until(|count| count("taken") == 1);
-        go(client);
-        limiter.until(|count| count("abandoned") + count("rejections") == 1);
-        assert_eq!(limiter.count("abandoned"), 1, "it was not seen to go");
-        push.send(json!({"version": 2, "full": false, "servers": [destination.entry("s-1", "Ready")]}))
-            .unwrap();
-        limiter.until(|count| count("list_changes") == 1);
-        only_the_next_comes(&limiter, &destination);
+        client.write(&(get_request("large", 1) + "GET /read/0000"));
+        limiter.wait_for_counters(|count| count("taken") == 1);
+        disconnect(client);
+        limiter.wait_for_counters(|count| count("abandoned") + count("rejections") == 1);
+        assert_eq!(limiter.counter("abandoned"), 1, "the disconnect was not noticed");
+        push.send(json!({"version": 2, "full": false, "servers": [backend.entry("s-1", "Ready")]})).unwrap();
+        limiter.wait_for_counters(|count| count("list_changes") == 1);
+        expect_only_next_request(&limiter, &backend);
     }
 }
 
-/// The first attempt breaks after the client has gone: there is no second.
+/// The first attempt fails after the client has disconnected. There must be no second attempt.
 #[test]
-fn no_further_attempt_is_begun_for_a_client_that_left() {
-    for go in WAYS {
-        let (asked, was_asked) = channel();
-        let (asked, (break_off, breaks)) = (Mutex::new(asked), channel::<()>());
-        let breaks = Mutex::new(breaks);
-        let breaking = move |stream: &mut std::net::TcpStream| {
-            let _ = asked.lock().unwrap().send(());
-            let _ = breaks.lock().unwrap().recv();
+fn request_is_not_retried_after_client_disconnect() {
+    for disconnect in DISCONNECTS {
+        let (received, was_received) = channel();
+        let (received, (close, closed)) = (Mutex::new(received), channel::<()>());
+        let closed = Mutex::new(closed);
+        let closing = move |stream: &mut std::net::TcpStream| {
+            let _ = received.lock().unwrap().send(());
+            let _ = closed.lock().unwrap().recv();
             let _ = stream.shutdown(Shutdown::Both);
         };
-        let breaking = std::sync::Arc::new(breaking);
-        let destinations = [(); 2].map(|()| {
-            let breaking = breaking.clone();
-            Destination::start(move |stream| breaking(stream))
+        let closing = std::sync::Arc::new(closing);
+        let backends = [(); 2].map(|()| {
+            let closing = closing.clone();
+            Backend::start(move |stream| closing(stream))
         });
-        let entries = [0, 1].map(|n| destinations[n].entry(&format!("s-{n}"), "Ready")).to_vec();
-        let (config, push) = patient(entries.clone());
+        let entries = [0, 1].map(|n| backends[n].entry(&format!("s-{n}"), "Ready")).to_vec();
+        let (config, push) = config_with_long_connect_timeout(entries.clone());
         let mut limiter = Limiter::start(&config);
         let mut client = limiter.connect();
-        client.write(&(read("large", 1) + "GET /read/0000"));
-        was_asked.recv_timeout(HUNG).unwrap();
-        go(client);
-        limiter.until(|count| count("abandoned") == 1);
-        break_off.send(()).unwrap();
-        limiter.until(|count| count("attempts_reset") == 1);
-        let marker = Destination::answering("a report");
-        let gone: Vec<Value> = [0, 1].map(|n| destinations[n].entry(&format!("s-{n}"), "Gone")).to_vec();
+        client.write(&(get_request("large", 1) + "GET /read/0000"));
+        was_received.recv_timeout(HANG_TIMEOUT).unwrap();
+        disconnect(client);
+        limiter.wait_for_counters(|count| count("abandoned") == 1);
+        close.send(()).unwrap();
+        limiter.wait_for_counters(|count| count("attempts_reset") == 1);
+        let marker = Backend::answering("a report");
+        let gone: Vec<Value> = [0, 1].map(|n| backends[n].entry(&format!("s-{n}"), "Gone")).to_vec();
         let servers = [gone, vec![marker.entry("s-2", "Ready")]].concat();
         push.send(json!({"version": 2, "full": false, "servers": servers})).unwrap();
-        limiter.until(|count| count("list_changes") == 1);
-        only_the_next_comes(&limiter, &marker);
-        assert_eq!(limiter.count("attempts"), 2, "one for each request");
+        limiter.wait_for_counters(|count| count("list_changes") == 1);
+        expect_only_next_request(&limiter, &marker);
+        assert_eq!(limiter.counter("attempts"), 2, "one attempt for each request");
     }
 }
 
-/// More bytes than are read ahead stand between the request and its client's end. The end was not looked for there, and the
-/// request was sent on (abandoned=0): 48 KiB were written behind it, and 16 KiB are read ahead.
+/// More bytes than the limiter reads ahead (16 KiB) lie between the request and the end of the client's connection. The
+/// limiter once missed the end behind 48 KiB and sent the request to a backend (abandoned=0).
 #[test]
-fn a_client_that_left_behind_more_than_is_read_ahead_is_seen_to_go() {
-    const READ_AHEAD: usize = 16 << 10;
-    for go in WAYS {
-        let destination = Destination::answering("a report");
-        let (config, push) = patient(vec![]);
+fn disconnect_behind_more_than_the_read_ahead_is_noticed() {
+    const READ_AHEAD_BYTES: usize = 16 << 10;
+    for disconnect in DISCONNECTS {
+        let backend = Backend::answering("a report");
+        let (config, push) = config_with_long_connect_timeout(vec![]);
         let mut limiter = Limiter::start(&config);
         let mut client = limiter.connect();
-        client.write(&(read("large", 1) + &"x".repeat(3 * READ_AHEAD)));
-        limiter.until(|count| count("taken") == 1);
-        go(client);
-        limiter.until(|count| count("abandoned") + count("rejections") + count("failed") == 1);
-        assert_eq!(limiter.count("abandoned"), 1, "it was not seen to go");
-        push.send(json!({"version": 2, "full": false, "servers": [destination.entry("s-1", "Ready")]}))
-            .unwrap();
-        limiter.until(|count| count("list_changes") == 1);
-        only_the_next_comes(&limiter, &destination);
+        client.write(&(get_request("large", 1) + &"x".repeat(3 * READ_AHEAD_BYTES)));
+        limiter.wait_for_counters(|count| count("taken") == 1);
+        disconnect(client);
+        limiter.wait_for_counters(|count| count("abandoned") + count("rejections") + count("failed") == 1);
+        assert_eq!(limiter.counter("abandoned"), 1, "the disconnect was not noticed");
+        push.send(json!({"version": 2, "full": false, "servers": [backend.entry("s-1", "Ready")]})).unwrap();
+        limiter.wait_for_counters(|count| count("list_changes") == 1);
+        expect_only_next_request(&limiter, &backend);
     }
 }
--- a/tests/limiter/cold.rs
+++ b/tests/limiter/cold.rs
@@ -1,5 +1,5 @@
-//! A cold server before thirty limiters that were told of its start in one instant, and a stand-in that adds up what all
-//! of them send it.
+//! Slow start of a backend behind thirty limiters that learn of its start at the same time. The backend's stand-in
+//! counts the requests of all limiters.
 
 use std::io::BufReader;
 use std::net::SocketAddr;
@@ -14,34 +14,37 @@
 use crate::harness::*;
 
 const LIMITERS: usize = 30;
-const MULTIPLE: f64 = 4.0;
-const SHARE: f64 = 0.23;
-const WARM_AFTER: Duration = Duration::from_secs(15);
-const WINDOW: Duration = Duration::from_secs(2);
+/// Factor and capacity share of the slow-start budget, as in the settings `fallMultiple` and `coldFrom`.
+const OVERLOAD_MULTIPLE: f64 = 4.0;
+const INITIAL_SHARE: f64 = 0.23;
+/// Duration of slow start, as in the setting `coldMs`.
+const SLOW_START: Duration = Duration::from_secs(15);
+/// Window of the slow-start budget, as in the setting `fallMs`.
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 
-/// A server that answers each request a little later and keeps when each came.
-struct Server {
+/// A backend that answers each request after a short delay and records its time of arrival.
+struct TimedBackend {
     address: SocketAddr,
-    came: Arc<Mutex<Vec<Instant>>>,
+    arrivals: Arc<Mutex<Vec<Instant>>>,
 }
 
-impl Server {
-    fn start() -> Server {
-        let came = Arc::new(Mutex::new(Vec::new()));
-        let kept = came.clone();
+impl TimedBackend {
+    fn start() -> TimedBackend {
+        let arrivals = Arc::new(Mutex::new(Vec::new()));
+        let recorded = arrivals.clone();
         let address = listen(move |mut stream| {
             let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
             while read_message(&mut reader).is_some() {
-                kept.lock().expect("no script panics").push(Instant::now());
+                recorded.lock().expect("no script panics").push(Instant::now());
                 sleep(Duration::from_millis(5));
-                ok(&mut stream, "a report");
+                respond_ok(&mut stream, "a report");
             }
         });
-        Server { address, came }
+        TimedBackend { address, arrivals }
     }
 
-    fn came(&self) -> Vec<Instant> {
-        self.came.lock().expect("no script panics").clone()
+    fn arrivals(&self) -> Vec<Instant> {
+        self.arrivals.lock().expect("no script panics").clone()
     }
 
     fn entry(&self, id: &str, state: &str, started_ms: u64) -> Value {
@@ -53,30 +56,31 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
-/// The most that came within a window, against what may have come: the budget of the settings at the window's end, by
-/// the least capacity that the server surely has, and what the page puts down to chance.
-fn over_budget(came: &[Instant], started: Instant, capacity: f64) -> Option<(usize, f64)> {
+/// Returns the number of requests in the first window that exceeds its limit, and that limit. The limit is the
+/// slow-start budget at the end of the window for a backend of at least `capacity` requests per second, with an
+/// allowance for random variation.
+fn exceeded_budget(arrivals: &[Instant], started: Instant, capacity: f64) -> Option<(usize, f64)> {
     let mut first = 0;
-    came.iter().enumerate().find_map(|(last, at)| {
-        while came[first] + WINDOW < *at {
+    arrivals.iter().enumerate().find_map(|(last, at)| {
+        while arrivals[first] + OVERLOAD_WINDOW < *at {
             first += 1;
         }
-        let age = at.duration_since(started).as_secs_f64() / WARM_AFTER.as_secs_f64();
-        let share = (SHARE + (1.0 - SHARE) * age).min(1.0);
-        let budget = MULTIPLE * share * capacity * WINDOW.as_secs_f64();
-        let most = budget + 2.0 * budget.sqrt() + 2.0;
+        let age = at.duration_since(started).as_secs_f64() / SLOW_START.as_secs_f64();
+        let share = (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * age).min(1.0);
+        let budget = OVERLOAD_MULTIPLE * share * capacity * OVERLOAD_WINDOW.as_secs_f64();
+        let limit = budget + 2.0 * budget.sqrt() + 2.0;
         let count = last + 1 - first;
-        (count as f64 > most).then_some((count, most))
+        (count as f64 > limit).then_some((count, limit))
     })
 }
 
 #[test]
-fn thirty_limiters_keep_a_cold_servers_budget_in_sum_also_under_a_burst_and_cold_twice() {
-    let warm: Vec<Server> = (0..4).map(|_| Server::start()).collect();
-    let cold = Server::start();
+fn thirty_limiters_together_respect_the_slow_start_budget() {
+    let warm: Vec<TimedBackend> = (0..4).map(|_| TimedBackend::start()).collect();
+    let cold = TimedBackend::start();
     let entries: Vec<Value> =
         warm.iter().enumerate().map(|(n, s)| s.entry(&format!("s-{n}"), "Ready", 0)).collect();
-    let (limiters, lists): (Vec<Limiter>, Vec<Sender<Value>>) = (0..LIMITERS)
+    let (limiters, list_senders): (Vec<Limiter>, Vec<Sender<Value>>) = (0..LIMITERS)
         .map(|number| {
             let (discovery, push) = discovery();
             let mut config = config(discovery, discovery, entries.clone());
@@ -88,52 +92,53 @@
             (Limiter::start(&config), push)
         })
         .unzip();
-    // Clients of each limiter ask one request after another, and rest so long between two.
-    let (rest, over) = (AtomicU64::new(40), AtomicBool::new(false));
-    let told = |entry: Value, version: u64| {
-        for list in &lists {
-            list.send(json!({"version": version, "full": false, "servers": [entry.clone()]})).unwrap();
+    // One client per limiter sends requests one after another, with a pause in milliseconds between two.
+    let (pause_ms, is_over) = (AtomicU64::new(40), AtomicBool::new(false));
+    let push_to_all = |entry: Value, version: u64| {
+        for list_sender in &list_senders {
+            list_sender.send(json!({"version": version, "full": false, "servers": [entry.clone()]})).unwrap();
         }
     };
     let starts = scope(|scope| {
         for limiter in &limiters {
             scope.spawn(|| {
                 let mut client = limiter.connect();
-                while !over.load(Relaxed) {
-                    client.ask(&read("large", 1));
-                    sleep(Duration::from_millis(rest.load(Relaxed)));
+                while !is_over.load(Relaxed) {
+                    client.request(&get_request("large", 1));
+                    sleep(Duration::from_millis(pause_ms.load(Relaxed)));
                 }
             });
         }
         sleep(Duration::from_secs(6));
         let mut starts = Vec::new();
         for version in [2, 4] {
-            starts.push((Instant::now(), cold.came().len()));
-            told(cold.entry("s-cold", "Ready", unix_ms()), version);
+            starts.push((Instant::now(), cold.arrivals().len()));
+            push_to_all(cold.entry("s-cold", "Ready", unix_ms()), version);
             sleep(Duration::from_secs(1));
-            rest.store(15, Relaxed);
+            pause_ms.store(15, Relaxed);
             sleep(Duration::from_millis(2_500));
-            rest.store(40, Relaxed);
-            told(cold.entry("s-cold", "Gone", 0), version + 1);
+            pause_ms.store(40, Relaxed);
+            push_to_all(cold.entry("s-cold", "Gone", 0), version + 1);
             sleep(Duration::from_millis(700));
         }
-        over.store(true, Relaxed);
+        is_over.store(true, Relaxed);
         starts
     });
-    let all = cold.came();
+    let all_arrivals = cold.arrivals();
     for (number, (started, first)) in starts.iter().enumerate() {
-        let last = starts.get(number + 1).map_or(all.len(), |next| next.1);
-        let came = &all[*first..last];
-        // What any warm one took before, each of them can do.
-        let quiet = *started - Duration::from_secs(2);
-        let took = |s: &Server| s.came().iter().filter(|at| (quiet..*started).contains(at)).count();
-        let capacity = warm.iter().map(took).max().unwrap_or(0) as f64 / 2.0;
-        assert!(capacity > 20.0, "warm servers were not used: {capacity} a second");
-        assert!(came.len() > 10, "the cold one is brought in: {}", came.len());
+        let last = starts.get(number + 1).map_or(all_arrivals.len(), |next| next.1);
+        let arrivals = &all_arrivals[*first..last];
+        // The largest rate of a warm backend just before is a capacity that each backend has.
+        let since = *started - Duration::from_secs(2);
+        let recent =
+            |b: &TimedBackend| b.arrivals().iter().filter(|at| (since..*started).contains(at)).count();
+        let capacity = warm.iter().map(recent).max().unwrap_or(0) as f64 / 2.0;
+        assert!(capacity > 20.0, "warm backends got too few requests: {capacity} per second");
+        assert!(arrivals.len() > 10, "the cold backend got too few requests: {}", arrivals.len());
         assert_eq!(
-            over_budget(came, *started, capacity),
+            exceeded_budget(arrivals, *started, capacity),
             None,
-            "start {number}, {capacity} a second when warm"
+            "start {number}, capacity of a warm backend: {capacity} per second"
         );
     }
 }
--- a/tests/limiter/harness.rs
+++ b/tests/limiter/harness.rs
@@ -1,4 +1,4 @@
-//! The program under test and its peers: small scripted listeners on loopback.
+//! Runs the program under test, and scripted stand-ins on loopback for the services that it talks to.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,13 +15,15 @@
 
 use crate::script::figure;
 
-/// A test that has hung for this long has failed; no verdict depends on it otherwise.
-pub const HUNG: Duration = Duration::from_secs(60);
+/// Time after which a test that hangs fails. No other result depends on it.
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An HTTP message: its first line, its headers with names in lower case, its body.
+/// An HTTP request or response.
 #[derive(Debug)]
 pub struct Message {
-    pub first: String,
+    /// Request line or status line.
+    pub start_line: String,
+    /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     pub body: String,
 }
@@ -31,20 +33,20 @@
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// The status of an answer.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or_else(|| panic!("{self:?}"))
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or_else(|| panic!("{self:?}"))
     }
 }
 
-/// Reads one message; `None` where the connection ends before it does.
+/// Reads one message. Returns `None` if the connection ends before the message does.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut line = || {
         let mut text = String::new();
         let count = reader.read_line(&mut text).ok()?;
         (count > 0).then(|| text.trim_end().to_string())
     };
-    let first = line()?;
+    let start_line = line()?;
     let mut headers = Vec::new();
     loop {
         let text = line()?;
@@ -54,11 +56,11 @@
         let (name, value) = text.split_once(": ")?;
         headers.push((name.to_lowercase(), value.to_string()));
     }
-    let mut message = Message { first, headers, body: String::new() };
+    let mut message = Message { start_line, headers, body: String::new() };
     let length = message.header("content-length").map_or(0, |l| l.parse().expect("a length"));
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
-    message.body = String::from_utf8(body).expect("bodies here are text");
+    message.body = String::from_utf8(body).expect("the body is UTF-8");
     Some(message)
 }
 
@@ -66,20 +68,20 @@
     TcpListener::bind("127.0.0.1:0").expect("loopback has a port")
 }
 
-/// A server as discovery lists it.
+/// Returns the endpoint list's entry of a backend.
 pub fn entry(address: SocketAddr, id: &str, state: &str, started_ms: u64) -> Value {
     json!({"id": id, "addr": address.to_string(), "zone": "room-a", "kind": "small", "cell": 1,
            "state": state, "weight": 1.0, "started_ms": started_ms})
 }
 
-/// Listens on loopback and runs `script` on a thread for each connection.
+/// Listens on loopback, and runs `script` on its own thread for each connection.
 pub fn listen(script: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     listen_on(loopback(), script)
 }
 
-/// Runs `script` on a thread for each connection that comes up.
+/// Accepts connections, and runs `script` on its own thread for each one.
 pub fn listen_on(listener: TcpListener, script: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let script = Arc::new(script);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -90,93 +92,100 @@
     address
 }
 
-/// Answers 200 with a body, keeping the connection.
-pub fn ok(stream: &mut TcpStream, body: &str) {
+/// Responds with status 200 and a body, and keeps the connection open.
+pub fn respond_ok(stream: &mut TcpStream, body: &str) {
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    // The limiter may have given up meanwhile.
+    // Ignores errors: the limiter may have closed the connection by now.
     let _ = stream.write_all(answer.as_bytes());
 }
 
-/// A destination: `script` answers each request, and the requests that came whole are kept.
+/// A backend. It records each complete request, and `script` answers it.
 #[derive(Clone)]
-pub struct Destination {
+pub struct Backend {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Message>>>,
-    pub count: Arc<AtomicU32>,
+    requests: Arc<Mutex<Vec<Message>>>,
+    pub request_count: Arc<AtomicU32>,
 }
 
-impl Destination {
-    pub fn start(script: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Destination {
-        Destination::on(loopback(), script)
+impl Backend {
+    pub fn start(script: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Backend {
+        Backend::start_on(loopback(), script)
     }
 
-    pub fn on(listener: TcpListener, script: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Destination {
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let count = Arc::new(AtomicU32::new(0));
-        let (kept, counted) = (seen.clone(), count.clone());
+    /// Starts a backend on an existing listener.
+    pub fn start_on(
+        listener: TcpListener,
+        script: impl Fn(&mut TcpStream) + Send + Sync + 'static,
+    ) -> Backend {
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let request_count = Arc::new(AtomicU32::new(0));
+        let (recorded, counted) = (requests.clone(), request_count.clone());
         let address = listen_on(listener, move |mut stream| {
             let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
             while let Some(message) = read_message(&mut reader) {
-                kept.lock().expect("no script panics").push(message);
+                recorded.lock().expect("no script panics").push(message);
                 counted.fetch_add(1, Relaxed);
                 script(&mut stream);
             }
         });
-        Destination { address, seen, count }
+        Backend { address, requests, request_count }
     }
 
-    /// A destination that answers every request with `body`.
-    pub fn answering(body: &'static str) -> Destination {
-        Destination::start(move |stream| ok(stream, body))
+    /// Starts a backend that answers every request with `body`.
+    pub fn answering(body: &'static str) -> Backend {
+        Backend::start(move |stream| respond_ok(stream, body))
     }
 
-    /// A destination that holds its answers until it is told to give one.
-    pub fn holding() -> (Destination, Sender<()>) {
+    /// Starts a backend that holds back each answer until the returned sender releases one.
+    pub fn holding_answers() -> (Backend, Sender<()>) {
         let (release, released) = channel::<()>();
         let released = Mutex::new(released);
-        let destination = Destination::start(move |stream| {
+        let backend = Backend::start(move |stream| {
             let _ = released.lock().expect("no script panics").recv();
-            ok(stream, "a report");
+            respond_ok(stream, "a report");
         });
-        (destination, release)
+        (backend, release)
     }
 
-    /// Waits until a request has come whole.
-    pub fn until_asked(&self) {
-        while self.count() == 0 {
+    /// Waits until a complete request has arrived.
+    pub fn wait_for_request(&self) {
+        while self.request_count() == 0 {
             thread::yield_now();
         }
     }
 
-    pub fn seen(&self) -> Vec<Message> {
-        std::mem::take(&mut self.seen.lock().expect("no script panics"))
+    /// Returns the requests recorded since the last call.
+    pub fn take_requests(&self) -> Vec<Message> {
+        std::mem::take(&mut self.requests.lock().expect("no script panics"))
     }
 
-    pub fn count(&self) -> u32 {
-        self.count.load(Relaxed)
+    /// Returns the number of complete requests so far.
+    pub fn request_count(&self) -> u32 {
+        self.request_count.load(Relaxed)
     }
 
+    /// Returns the endpoint list's entry of the backend.
     pub fn entry(&self, id: &str, state: &str) -> Value {
         entry(self.address, id, state, 0)
     }
 }
 
-/// Discovery: writes the lines that a test pushes to the watch that stands.
+/// Starts discovery. It writes each list sent to the returned sender to the open watch; null ends the watch.
 pub fn discovery() -> (SocketAddr, Sender<Value>) {
-    discovery_wording(std::string::ToString::to_string)
+    discovery_with_format(std::string::ToString::to_string)
 }
 
-/// The same, its lists worded by `word`.
-pub fn discovery_wording(
-    word: impl Fn(&Value) -> String + Send + Sync + 'static,
+/// Like [`discovery`], with lists formatted by `format_list`.
+pub fn discovery_with_format(
+    format_list: impl Fn(&Value) -> String + Send + Sync + 'static,
 ) -> (SocketAddr, Sender<Value>) {
-    discovery_on(loopback(), word)
+    discovery_on(loopback(), format_list)
 }
 
-/// Discovery on a listener of the test's.
+/// Like [`discovery_with_format`], on an existing listener.
 pub fn discovery_on(
     listener: TcpListener,
-    word: impl Fn(&Value) -> String + Send + Sync + 'static,
+    format_list: impl Fn(&Value) -> String + Send + Sync + 'static,
 ) -> (SocketAddr, Sender<Value>) {
     let (push, lines) = channel::<Value>();
     let lines = Mutex::new(lines);
@@ -187,12 +196,11 @@
         }
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let mut sent = stream.write_all(head.as_bytes());
-        let lines = lines.lock().expect("one watch at a time");
+        let lines = lines.lock().expect("no script panics");
         while sent.is_ok() {
             let line = match lines.recv_timeout(Duration::from_secs(2)) {
-                // The watch ends.
                 Ok(Value::Null) => return,
-                Ok(list) => word(&list) + "\n",
+                Ok(list) => format_list(&list) + "\n",
                 Err(std::sync::mpsc::RecvTimeoutError::Timeout) => "\n".to_string(),
                 Err(_) => return,
             };
@@ -202,13 +210,14 @@
     (address, push)
 }
 
-/// A counter that adds up by name, for as long as a connection stands; each connection is told of.
-pub fn counter(answers: bool) -> (SocketAddr, Receiver<()>) {
-    counter_on(loopback(), answers)
+/// Starts a quota counter, which adds up amounts by name. The totals last as long as a connection. The receiver gets a
+/// message for each connection. If `answers` is false, the counter never replies.
+pub fn quota_counter(answers: bool) -> (SocketAddr, Receiver<()>) {
+    quota_counter_on(loopback(), answers)
 }
 
-/// A counter on a listener of the test's.
-pub fn counter_on(listener: TcpListener, answers: bool) -> (SocketAddr, Receiver<()>) {
+/// Like [`quota_counter`], on an existing listener.
+pub fn quota_counter_on(listener: TcpListener, answers: bool) -> (SocketAddr, Receiver<()>) {
     let (connected, connections) = channel();
     let connected = Mutex::new(connected);
     let address = listen_on(listener, move |mut stream| {
@@ -233,8 +242,8 @@
     (address, connections)
 }
 
-/// A configuration whose classes are `read` (safe) and `send` (keyed within a cell), and whose plans are
-/// `small` (a burst of 4 units) and `large`.
+/// Returns a configuration with the classes `read` (idempotent) and `send` (with an idempotency key, valid within a
+/// cell), and the plans `small` (a burst of 4 units) and `large`.
 pub fn config(discovery: SocketAddr, counter: SocketAddr, servers: Vec<Value>) -> Value {
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "credit": 1.0, "deadlineMs": 8000.0, "goalTimeMs": 4000.0, "repeat": repeat,
@@ -263,16 +272,16 @@
     })
 }
 
-/// Writes a configuration to a file of its own.
+/// Writes a configuration to a new file and returns the path.
 pub fn config_file(config: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("{}-{}.json", std::process::id(), NEXT.fetch_add(1, Relaxed));
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, config).expect("the target folder can be written");
+    std::fs::write(&path, config).expect("the target directory can be written");
     path
 }
 
-/// The program, without the environment of whoever runs the tests.
+/// Returns a command for the program, without the limiter's variables of the surrounding environment.
 pub fn command(config: &str) -> Command {
     command_on(&config_file(config))
 }
@@ -286,97 +295,99 @@
     command
 }
 
-/// A limiter that runs.
+/// A running limiter.
 pub struct Limiter {
     child: Child,
     file: PathBuf,
     log: BufReader<std::process::ChildStderr>,
     pub address: SocketAddr,
-    /// The operators' address, where the configuration has one.
+    /// Address of the admin calls, if the configuration has one.
     pub ops: Option<SocketAddr>,
 }
 
 impl Limiter {
     /// Starts the program and waits until it listens.
     pub fn start(config: &Value) -> Limiter {
-        Limiter::start_with(config, None)
+        Limiter::start_with_discovery(config, None)
     }
 
-    /// Starts the program with `LB_DISCOVERY` set, if it is given.
-    pub fn start_with(config: &Value, discovery: Option<SocketAddr>) -> Limiter {
+    /// Starts the program, with `LB_DISCOVERY` set if `discovery` is given.
+    pub fn start_with_discovery(config: &Value, discovery: Option<SocketAddr>) -> Limiter {
         let variables = discovery.map(|d| ("LB_DISCOVERY", d.to_string()));
-        Limiter::start_in(config, variables.as_slice())
+        Limiter::start_with_env(config, variables.as_slice())
     }
 
-    /// Starts the program with these variables in its environment.
-    pub fn start_in(config: &Value, variables: &[(&str, String)]) -> Limiter {
-        Limiter::start_as(config, |command| {
+    /// Starts the program with additional environment variables.
+    pub fn start_with_env(config: &Value, variables: &[(&str, String)]) -> Limiter {
+        Limiter::start_customized(config, |command| {
             command.envs(variables.iter().map(|(name, value)| (name, value)));
         })
     }
 
-    /// Starts the program as `adapt` makes its command.
-    pub fn start_as(config: &Value, adapt: impl FnOnce(&mut Command)) -> Limiter {
+    /// Starts the program with a command that `customize` has changed.
+    pub fn start_customized(config: &Value, customize: impl FnOnce(&mut Command)) -> Limiter {
         let file = config_file(&config.to_string());
         let mut command = command_on(&file);
-        adapt(&mut command);
+        customize(&mut command);
         let mut child = command.spawn().expect("the program starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
         let has_ops = config.get("ops").is_some();
-        let ops = has_ops.then(|| wait_for(&mut log, "ops: listening on ").parse().expect("an address"));
-        let address = wait_for(&mut log, "front: listening on ").parse().expect("an address");
+        let ops = has_ops.then(|| wait_for_line(&mut log, "ops: listening on ").parse().expect("an address"));
+        let address = wait_for_line(&mut log, "front: listening on ").parse().expect("an address");
         Limiter { child, file, log, address, ops }
     }
 
-    /// One call at the operators' address.
-    pub fn call(&self, method: &str, call: &str) -> Message {
-        let stream = TcpStream::connect(self.ops.expect("it has the address")).expect("it accepts");
-        stream.set_read_timeout(Some(HUNG)).expect("a time-out is set");
-        Client { reader: BufReader::new(stream) }.ask(&format!("{method} /admin/{call} HTTP/1.1\r\n\r\n"))
+    /// Sends an admin call on its own connection and returns the answer.
+    pub fn call_admin(&self, method: &str, path: &str) -> Message {
+        let stream = TcpStream::connect(self.ops.expect("the limiter has an address for admin calls"))
+            .expect("the limiter accepts");
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("the timeout can be set");
+        Client { reader: BufReader::new(stream) }.request(&format!("{method} /admin/{path} HTTP/1.1\r\n\r\n"))
     }
 
-    /// A figure of `/admin/stats`.
-    pub fn figure(&self, name: &str) -> u64 {
-        let told: Value = serde_json::from_str(&self.call("GET", "stats").body).expect("JSON");
-        told[name].as_u64().unwrap_or_else(|| panic!("no {name} in {told}"))
+    /// Returns a value of `/admin/stats`.
+    pub fn admin_stat(&self, name: &str) -> u64 {
+        let stats: Value = serde_json::from_str(&self.call_admin("GET", "stats").body).expect("JSON");
+        stats[name].as_u64().unwrap_or_else(|| panic!("no {name} in {stats}"))
     }
 
     pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the limiter accepts");
-        stream.set_read_timeout(Some(HUNG)).expect("a time-out is set");
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("the timeout can be set");
         Client { reader: BufReader::new(stream) }
     }
 
-    /// One request on a connection of its own.
-    pub fn ask(&self, request: &str) -> Message {
-        self.connect().ask(request)
+    /// Sends a request on its own connection and returns the answer.
+    pub fn request(&self, request: &str) -> Message {
+        self.connect().request(request)
     }
 
-    /// Asks until `/ready` says 200.
-    pub fn until_ready(&self) {
-        while self.ask("GET /ready HTTP/1.1\r\n\r\n").status() != 200 {}
+    /// Waits until `/ready` answers 200.
+    pub fn wait_until_ready(&self) {
+        while self.request("GET /ready HTTP/1.1\r\n\r\n").status() != 200 {}
     }
 
-    /// What stands behind `name` in the process's `/proc/PID/status`.
-    pub fn status(&self, name: &str) -> u64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
+    /// Returns the number after `name` in `/proc/PID/status` of the process.
+    pub fn proc_status(&self, name: &str) -> u64 {
+        let text =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("the process runs");
         let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(':'));
-        let figure =
+        let number =
             line.and_then(|l| l.split_whitespace().next()).unwrap_or_else(|| panic!("no {name}: {text}"));
-        figure.parse().expect("a number")
+        number.parse().expect("a number")
     }
 
-    /// Descriptors that the process holds.
-    pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+    /// Returns the number of open file descriptors of the process.
+    pub fn open_descriptors(&self) -> usize {
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the process runs").count()
     }
 
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
-        assert!(done.expect("kill is there").success());
+        let status = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
+        assert!(status.expect("kill can be started").success());
     }
 
-    /// Stops the process where it is, until SIGCONT.
+    /// Suspends the process until SIGCONT.
     pub fn freeze(&self) {
         self.signal("STOP");
         while !self.is_frozen() {
@@ -385,46 +396,47 @@
     }
 
     fn is_frozen(&self) -> bool {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
+        let text =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("the process runs");
         text.lines().any(|line| line.starts_with("State:") && line.contains("stopped"))
     }
 
-    /// Replaces the configuration, tells the program to read it again, and gives what it says of that.
+    /// Replaces the configuration file, makes the program reload it, and returns the rest of the log line about that.
     pub fn reload(&mut self, config: &str) -> String {
-        std::fs::write(&self.file, config).expect("the target folder can be written");
+        std::fs::write(&self.file, config).expect("the target directory can be written");
         self.signal("HUP");
-        wait_for(&mut self.log, "reload")
+        wait_for_line(&mut self.log, "reload")
     }
 
-    /// The counters, printed on request.
+    /// Makes the program print its counters, and returns them.
     pub fn counters(&mut self) -> String {
         self.signal("USR1");
-        wait_for(&mut self.log, "counters:")
+        wait_for_line(&mut self.log, "counters:")
     }
 
-    /// One of the counters.
-    pub fn count(&mut self, name: &str) -> u64 {
+    /// Returns the value of a counter.
+    pub fn counter(&mut self, name: &str) -> u64 {
         figure(&self.counters(), name)
     }
 
-    /// Waits until the counters are as `observed` wants them.
-    pub fn until(&mut self, observed: impl Fn(&dyn Fn(&str) -> u64) -> bool) {
-        let begun = Instant::now();
+    /// Waits until `condition` is true. It gets a function that returns the value of a counter.
+    pub fn wait_for_counters(&mut self, condition: impl Fn(&dyn Fn(&str) -> u64) -> bool) {
+        let started = Instant::now();
         loop {
             let counters = self.counters();
-            if observed(&|name| figure(&counters, name)) {
+            if condition(&|name| figure(&counters, name)) {
                 return;
             }
-            assert!(begun.elapsed() < HUNG, "it never came to it: {counters}");
+            assert!(started.elapsed() < HANG_TIMEOUT, "the condition never became true: {counters}");
             thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// How the program ended, and what it had left to say.
-    pub fn end(mut self) -> (ExitStatus, String) {
+    /// Waits until the program ends. Returns its exit status and the rest of its log.
+    pub fn wait_for_exit(mut self) -> (ExitStatus, String) {
         let mut rest = String::new();
-        self.log.read_to_string(&mut rest).expect("the log is text");
-        (self.child.wait().expect("it ends"), rest)
+        self.log.read_to_string(&mut rest).expect("the log is UTF-8");
+        (self.child.wait().expect("the program ends"), rest)
     }
 }
 
@@ -435,20 +447,20 @@
     }
 }
 
-/// Reads the log up to a line that holds `mark`, and gives what follows it.
-fn wait_for(log: &mut impl BufRead, mark: &str) -> String {
-    let mut seen = String::new();
+/// Reads the log up to the first line that contains `text`, and returns the rest of that line.
+fn wait_for_line(log: &mut impl BufRead, text: &str) -> String {
+    let mut lines_read = String::new();
     loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).expect("the log is text") > 0, "no '{mark}' in: {seen}");
-        if let Some((_, rest)) = line.split_once(mark) {
+        assert!(log.read_line(&mut line).expect("the log is UTF-8") > 0, "no '{text}' in: {lines_read}");
+        if let Some((_, rest)) = line.split_once(text) {
             return rest.trim_end().to_string();
         }
-        seen.push_str(&line);
+        lines_read.push_str(&line);
     }
 }
 
-/// A client's connection.
+/// Connection of a client.
 pub struct Client {
     reader: BufReader<TcpStream>,
 }
@@ -458,8 +470,8 @@
         self.reader.get_mut().write_all(text.as_bytes()).expect("the limiter reads");
     }
 
-    /// Writes for as long as the limiter reads.
-    pub fn pour(&mut self, bytes: &[u8]) {
+    /// Writes `bytes` repeatedly until the limiter closes the connection.
+    pub fn write_until_closed(&mut self, bytes: &[u8]) {
         while self.reader.get_mut().write_all(bytes).is_ok() {}
     }
 
@@ -467,26 +479,27 @@
         self.reader.into_inner()
     }
 
-    /// The next answer; `None` where the limiter closes without one.
-    pub fn answer(&mut self) -> Option<Message> {
+    /// Reads the next answer. Returns `None` if the limiter closes the connection without one.
+    pub fn read_answer(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
 
-    pub fn ask(&mut self, request: &str) -> Message {
+    /// Sends a request and returns the answer.
+    pub fn request(&mut self, request: &str) -> Message {
         self.write(request);
-        self.answer().expect("an answer")
+        self.read_answer().expect("an answer")
     }
 }
 
-/// An id that no other request has.
-fn new_id() -> String {
+/// Returns a unique request id.
+fn new_request_id() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     format!("9b1f03aa{:08x}", NEXT.fetch_add(1, Relaxed))
 }
 
-/// A `GET` of the safe class on a plan.
-pub fn read(plan: &str, units: u32) -> String {
-    let id = new_id();
+/// Returns a `GET` request of the class `read`, from a customer of `plan`.
+pub fn get_request(plan: &str, units: u32) -> String {
+    let id = new_request_id();
     format!(
         "GET /read/00000000b4d65521?part=1 HTTP/1.1\r\nHost: backend.local\r\n\
          X-Request-Id: {id}\r\nX-Class: read\r\nX-Contract: {plan}\r\nX-Deadline-Ms: 8000\r\n\
@@ -494,9 +507,9 @@
     )
 }
 
-/// A `POST` of the keyed class.
-pub fn send(body: &str) -> String {
-    let id = new_id();
+/// Returns a `POST` request of the class `send`, from a customer of the plan `large`.
+pub fn post_request(body: &str) -> String {
+    let id = new_request_id();
     format!(
         "POST /send/00000000b4d65521 HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: {id}\r\n\
          X-Class: send\r\nX-Contract: large\r\nX-Deadline-Ms: 8000\r\nIdempotency-Key: 5c0f6e1a2b3d4c59\r\n\
--- a/tests/limiter/main.rs
+++ b/tests/limiter/main.rs
@@ -1,4 +1,4 @@
-//! The built program on loopback sockets, among scripted peers.
+//! Runs the built program on loopback sockets, with scripted stand-ins for the services that it talks to.
 
 mod answer_begun;
 mod bad_input;
@@ -28,55 +28,57 @@
 use harness::*;
 use serde_json::{json, Value};
 
-/// A limiter whose counter answers and whose endpoints is `servers`, with a way to change it.
-fn limiter(servers: Vec<Value>) -> (Limiter, std::sync::mpsc::Sender<Value>) {
+/// Starts a limiter with a quota counter that answers and with the endpoint list `servers`. The sender changes the
+/// list.
+fn start_limiter(servers: Vec<Value>) -> (Limiter, std::sync::mpsc::Sender<Value>) {
     let (discovery, push) = discovery();
-    let (counter, _) = counter(true);
+    let (counter, _) = quota_counter(true);
     (Limiter::start(&config(discovery, counter, servers)), push)
 }
 
 #[test]
-fn a_request_is_served_and_passes_on_unchanged() {
-    let destination = Destination::answering("a report");
-    let (limiter, _push) = limiter(vec![destination.entry("s-1", "Ready")]);
+fn request_is_forwarded_unchanged() {
+    let backend = Backend::answering("a report");
+    let (limiter, _push) = start_limiter(vec![backend.entry("s-1", "Ready")]);
     let mut client = limiter.connect();
-    let request = read("large", 1);
-    let answer = client.ask(&request);
+    let request = get_request("large", 1);
+    let answer = client.request(&request);
     assert_eq!((answer.status(), answer.body.as_str()), (200, "a report"));
-    assert_eq!(client.ask(&send("a thesis")).status(), 200);
-    let id = request.lines().find_map(|l| l.strip_prefix("X-Request-Id: ")).expect("it has one");
-    let seen = destination.seen();
-    assert_eq!(seen[0].first, "GET /read/00000000b4d65521?part=1 HTTP/1.1");
-    assert_eq!(seen[0].header("x-request-id"), Some(id));
-    let left: u64 = seen[0].header("x-deadline-ms").unwrap().parse().unwrap();
-    assert!(left <= 8000, "{left}");
-    assert_eq!(seen[1].first, "POST /send/00000000b4d65521 HTTP/1.1");
-    assert_eq!(seen[1].header("idempotency-key"), Some("5c0f6e1a2b3d4c59"));
-    assert_eq!(seen[1].body, "a thesis");
+    assert_eq!(client.request(&post_request("a thesis")).status(), 200);
+    let id = request.lines().find_map(|l| l.strip_prefix("X-Request-Id: ")).expect("the request has an id");
+    let forwarded = backend.take_requests();
+    assert_eq!(forwarded[0].start_line, "GET /read/00000000b4d65521?part=1 HTTP/1.1");
+    assert_eq!(forwarded[0].header("x-request-id"), Some(id));
+    let time_left: u64 = forwarded[0].header("x-deadline-ms").unwrap().parse().unwrap();
+    assert!(time_left <= 8000, "{time_left}");
+    assert_eq!(forwarded[1].start_line, "POST /send/00000000b4d65521 HTTP/1.1");
+    assert_eq!(forwarded[1].header("idempotency-key"), Some("5c0f6e1a2b3d4c59"));
+    assert_eq!(forwarded[1].body, "a thesis");
 }
 
 #[test]
-fn beyond_its_quota_a_customer_is_refused_with_a_time_to_come_back() {
-    let destination = Destination::answering("a report");
-    let (limiter, _push) = limiter(vec![destination.entry("s-1", "Ready")]);
-    assert_eq!(limiter.ask(&read("small", 4)).status(), 200);
-    let answer = limiter.ask(&read("small", 4));
+fn over_quota_request_is_rejected_with_retry_after() {
+    let backend = Backend::answering("a report");
+    let (limiter, _push) = start_limiter(vec![backend.entry("s-1", "Ready")]);
+    assert_eq!(limiter.request(&get_request("small", 4)).status(), 200);
+    let answer = limiter.request(&get_request("small", 4));
     assert_eq!(answer.status(), 429);
-    let after: f64 = answer.header("retry-after").expect("advice").parse().expect("seconds");
-    assert!(after > 0.0 && after <= 0.5, "{after}");
-    assert_eq!(destination.count(), 1);
+    let retry_after: f64 = answer.header("retry-after").expect("a header").parse().expect("seconds");
+    assert!(retry_after > 0.0 && retry_after <= 0.5, "{retry_after}");
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
-fn what_is_malformed_never_reaches_the_module() {
-    let destination = Destination::answering("a report");
-    let (mut limiter, _push) = limiter(vec![destination.entry("s-1", "Ready")]);
-    let (get, post) = (read("large", 1), send("a thesis"));
-    let long = "x".repeat((64 << 10) + 1);
-    let metering = |said: &str| (get.replace("units=1,spread=1,first=0", said), 400);
-    let twice = |line: &str| (get.replace("Host:", &format!("{line}\r\nHost:")), 400);
-    let hidden = format!("0\r\n\r\n{get}");
-    let length = |lines: &str| (post.replace("Content-Length: 8", lines).replace("a thesis", &hidden), 400);
+fn malformed_requests_are_not_admitted() {
+    let backend = Backend::answering("a report");
+    let (mut limiter, _push) = start_limiter(vec![backend.entry("s-1", "Ready")]);
+    let (get, post) = (get_request("large", 1), post_request("a thesis"));
+    let long_body = "x".repeat((64 << 10) + 1);
+    let metering = |value: &str| (get.replace("units=1,spread=1,first=0", value), 400);
+    let duplicate_header = |line: &str| (get.replace("Host:", &format!("{line}\r\nHost:")), 400);
+    let smuggled_request = format!("0\r\n\r\n{get}");
+    let length_headers =
+        |lines: &str| (post.replace("Content-Length: 8", lines).replace("a thesis", &smuggled_request), 400);
     for (request, status) in [
         (get.replace("/read/", "/lend/"), 404),
         (get.replace("/read/00000000b4d65521", "/read"), 404),
@@ -101,203 +103,204 @@
         metering("units=1,spread=1,first=1"),
         metering("units=1,spread=1,first=-1"),
         metering("units=1,units=2,spread=1,first=0"),
-        twice("X-Class: read"),
-        twice("X-Contract: small"),
-        twice("X-Request-Id: another"),
-        twice("X-Deadline-Ms: 8000"),
-        twice("X-Metering: units=1,spread=1,first=0"),
+        duplicate_header("X-Class: read"),
+        duplicate_header("X-Contract: small"),
+        duplicate_header("X-Request-Id: another"),
+        duplicate_header("X-Deadline-Ms: 8000"),
+        duplicate_header("X-Metering: units=1,spread=1,first=0"),
         (get.replace("GET", "DELETE"), 400),
         (get.replace("Host:", "Content-Length: 4\r\nHost:") + "body", 400),
         (post.replace("Idempotency-Key", "X-Key"), 400),
-        (post.replace("Content-Length: 8", "Content-Length: 65537").replace("a thesis", &long), 413),
-        length("Content-Length: 5\r\nTransfer-Encoding: chunked"),
-        length("Transfer-Encoding: chunked\r\nContent-Length: 5"),
-        length("Content-Length: 5\r\nContent-Length: 6"),
-        length("Content-Length: -5"),
-        length("Content-Length: 99999999999999999999"),
+        (post.replace("Content-Length: 8", "Content-Length: 65537").replace("a thesis", &long_body), 413),
+        length_headers("Content-Length: 5\r\nTransfer-Encoding: chunked"),
+        length_headers("Transfer-Encoding: chunked\r\nContent-Length: 5"),
+        length_headers("Content-Length: 5\r\nContent-Length: 6"),
+        length_headers("Content-Length: -5"),
+        length_headers("Content-Length: 99999999999999999999"),
     ] {
         let mut client = limiter.connect();
-        assert_eq!(client.ask(&request).status(), status, "{}", &request[..request.len().min(400)]);
-        assert!(client.answer().is_none(), "nothing behind it is read as a request");
+        assert_eq!(client.request(&request).status(), status, "{}", &request[..request.len().min(400)]);
+        assert!(client.read_answer().is_none(), "the rest of the body must not be read as a request");
     }
     assert!(limiter.counters().contains(" taken=0 "));
-    assert_eq!(destination.count(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
-/// A client that goes on sending can read its error, and what it sends is not read without end.
+/// A client that keeps sending can read the error response, and the limiter does not read its body forever.
 #[test]
-fn an_error_survives_a_client_that_still_sends() {
-    let (limiter, _push) = limiter(vec![]);
+fn error_reaches_client_that_keeps_sending() {
+    let (limiter, _push) = start_limiter(vec![]);
     let mut client = limiter.connect();
-    client.write(&send("").replace("Content-Length: 0", "Content-Length: 60000000"));
+    client.write(&post_request("").replace("Content-Length: 0", "Content-Length: 60000000"));
     client.write(&"x".repeat(100_000));
-    assert_eq!(client.answer().expect("the error").status(), 413);
-    client.pour(&[b'x'; 4096]);
+    assert_eq!(client.read_answer().expect("an error response").status(), 413);
+    client.write_until_closed(&[b'x'; 4096]);
 }
 
 #[test]
-fn the_id_of_an_open_request_is_taken_by_nobody_else() {
-    let (destination, release) = Destination::holding();
-    let (limiter, _push) = limiter(vec![destination.entry("s-1", "Ready")]);
+fn duplicate_id_of_open_request_is_rejected() {
+    let (backend, release) = Backend::holding_answers();
+    let (limiter, _push) = start_limiter(vec![backend.entry("s-1", "Ready")]);
     let mut client = limiter.connect();
-    let request = read("large", 1);
+    let request = get_request("large", 1);
     client.write(&request);
-    destination.until_asked();
-    assert_eq!(limiter.ask(&request).status(), 409);
+    backend.wait_for_request();
+    assert_eq!(limiter.request(&request).status(), 409);
     release.send(()).unwrap();
-    assert_eq!(client.answer().expect("it was first").status(), 200);
-    assert_eq!(destination.count(), 1);
+    assert_eq!(client.read_answer().expect("an answer to the first request").status(), 200);
+    assert_eq!(backend.request_count(), 1);
 }
 
-/// Neither silent sockets, nor halves of requests, nor sockets kept after one request keep a client out.
+/// Clients can connect although silent connections, incomplete requests and connections kept open after a request use
+/// up the sockets.
 #[test]
-fn clients_get_in_past_sockets_that_say_nothing_more() {
-    let destination = Destination::answering("a report");
+fn idle_connections_do_not_lock_out_clients() {
+    let backend = Backend::answering("a report");
     let (discovery, _push) = discovery();
-    let (counter, _) = counter(true);
-    let mut config = config(discovery, counter, vec![destination.entry("s-1", "Ready")]);
+    let (counter, _) = quota_counter(true);
+    let mut config = config(discovery, counter, vec![backend.entry("s-1", "Ready")]);
     config["limits"]["sockets"] = json!(96);
     let mut limiter = Limiter::start(&config);
-    let mut kept = Vec::new();
+    let mut open_clients = Vec::new();
     for round in 0..120 {
         let mut client = limiter.connect();
         match round % 4 {
-            0 => assert_eq!(client.ask(&read("large", 1)).status(), 200),
+            0 => assert_eq!(client.request(&get_request("large", 1)).status(), 200),
             1 => client.write("GET /read/00"),
-            2 => client.write(&send("a thesis")[..200]),
+            2 => client.write(&post_request("a thesis")[..200]),
             _ => {}
         }
-        kept.push(client);
+        open_clients.push(client);
     }
-    assert_eq!(limiter.ask(&read("large", 1)).status(), 200);
+    assert_eq!(limiter.request(&get_request("large", 1)).status(), 200);
     assert!(!limiter.counters().contains(" downstream_room_unfinished=0 "));
-    // What was not closed for room is closed once its time is up.
-    for mut client in kept {
-        while client.answer().is_some() {}
+    // The limiter closes the remaining connections when their timeouts expire.
+    for mut client in open_clients {
+        while client.read_answer().is_some() {}
     }
 }
 
 #[test]
-fn a_body_of_64_kib_is_carried() {
-    let destination = Destination::answering("a report");
-    let (limiter, _push) = limiter(vec![destination.entry("s-1", "Ready")]);
+fn body_of_64_kib_is_forwarded() {
+    let backend = Backend::answering("a report");
+    let (limiter, _push) = start_limiter(vec![backend.entry("s-1", "Ready")]);
     let body = "x".repeat(64 << 10);
-    assert_eq!(limiter.ask(&send(&body)).status(), 200);
-    assert_eq!(destination.seen()[0].body, body);
+    assert_eq!(limiter.request(&post_request(&body)).status(), 200);
+    assert_eq!(backend.take_requests()[0].body, body);
 }
 
 #[test]
-fn a_safe_request_goes_elsewhere_when_its_destination_dies_in_the_answer() {
-    let dying = Destination::start(|stream| {
+fn idempotent_request_is_retried_when_backend_dies_during_answer() {
+    let dying = Backend::start(|stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of");
         let _ = stream.shutdown(Shutdown::Both);
     });
-    let sound = Destination::answering("a report");
-    let (limiter, _push) = limiter(vec![dying.entry("s-1", "Ready"), sound.entry("s-2", "Ready")]);
-    let mut asked = 0;
-    while dying.count() == 0 {
-        let answer = limiter.ask(&read("large", 1));
+    let healthy = Backend::answering("a report");
+    let (limiter, _push) = start_limiter(vec![dying.entry("s-1", "Ready"), healthy.entry("s-2", "Ready")]);
+    let mut request_count = 0;
+    while dying.request_count() == 0 {
+        let answer = limiter.request(&get_request("large", 1));
         assert_eq!((answer.status(), answer.body.as_str()), (200, "a report"));
-        asked += 1;
+        request_count += 1;
     }
-    assert_eq!(sound.count(), asked);
+    assert_eq!(healthy.request_count(), request_count);
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_fails_once_and_is_not_sent_out_of_its_cell() {
-    let dying = Destination::start(|stream| {
+fn keyed_request_that_may_have_run_is_not_sent_to_another_cell() {
+    let dying = Backend::start(|stream| {
         let _ = stream.shutdown(Shutdown::Both);
     });
-    let elsewhere = Destination::answering("a report");
-    let mut other = elsewhere.entry("s-2", "Terminating");
-    other["cell"] = json!(2);
-    let (limiter, push) = limiter(vec![dying.entry("s-1", "Ready"), other.clone()]);
-    assert_eq!(limiter.ask(&send("a thesis")).status(), 502);
-    assert_eq!((dying.count(), elsewhere.count()), (1, 0));
-    // With the other cell in service too, what died in one cell still never shows in the other.
-    other["state"] = json!("Ready");
-    push.send(json!({"version": 2, "full": false, "servers": [other]})).unwrap();
+    let other_cell = Backend::answering("a report");
+    let mut other_entry = other_cell.entry("s-2", "Terminating");
+    other_entry["cell"] = json!(2);
+    let (limiter, push) = start_limiter(vec![dying.entry("s-1", "Ready"), other_entry.clone()]);
+    assert_eq!(limiter.request(&post_request("a thesis")).status(), 502);
+    assert_eq!((dying.request_count(), other_cell.request_count()), (1, 0));
+    // Once the other cell is in service too, a request that failed in one cell is still never sent to the other.
+    other_entry["state"] = json!("Ready");
+    push.send(json!({"version": 2, "full": false, "servers": [other_entry]})).unwrap();
     let mut statuses = Vec::new();
-    while elsewhere.count() == 0 {
-        statuses.push(limiter.ask(&send("a thesis")).status());
+    while other_cell.request_count() == 0 {
+        statuses.push(limiter.request(&post_request("a thesis")).status());
     }
     let served = statuses.iter().filter(|s| **s == 200).count() as u32;
-    assert_eq!(served, elsewhere.count());
+    assert_eq!(served, other_cell.request_count());
 }
 
 #[test]
-fn a_destination_that_drains_gets_nothing_new() {
-    let (a, b) = (Destination::answering("a"), Destination::answering("b"));
-    let (limiter, push) = limiter(vec![a.entry("s-1", "Ready")]);
-    assert_eq!(limiter.ask(&read("large", 1)).body, "a");
+fn draining_backend_gets_no_new_requests() {
+    let (a, b) = (Backend::answering("a"), Backend::answering("b"));
+    let (limiter, push) = start_limiter(vec![a.entry("s-1", "Ready")]);
+    assert_eq!(limiter.request(&get_request("large", 1)).body, "a");
     let servers = [a.entry("s-1", "Terminating"), b.entry("s-2", "Ready")];
     push.send(json!({"version": 2, "full": false, "servers": servers})).unwrap();
-    // One change names both: once the new one is used, the drain is known.
-    while limiter.ask(&read("large", 1)).body != "b" {}
-    let before = a.count();
+    // One change lists both backends: once the limiter uses the new one, it also knows of the drain.
+    while limiter.request(&get_request("large", 1)).body != "b" {}
+    let before = a.request_count();
     for _ in 0..20 {
-        assert_eq!(limiter.ask(&read("large", 1)).body, "b");
+        assert_eq!(limiter.request(&get_request("large", 1)).body, "b");
     }
-    assert_eq!(a.count(), before);
+    assert_eq!(a.request_count(), before);
 }
 
 #[test]
-fn a_destination_back_under_its_id_gets_no_connection_of_its_former_life() {
+fn restarted_backend_gets_new_connection() {
     let (connected, connections) = channel();
     let connected = Mutex::new(connected);
     let address = listen(move |mut stream| {
         let _ = connected.lock().unwrap().send(());
         let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
         while read_message(&mut reader).is_some() {
-            ok(&mut stream, "a report");
+            respond_ok(&mut stream, "a report");
         }
     });
     let entry = |started: u64| json!({"id": "s-1", "addr": address.to_string(), "cell": 1, "state": "Ready", "started_ms": started});
-    let marker = Destination::answering("marker");
-    let (limiter, push) = limiter(vec![entry(0)]);
-    assert_eq!(limiter.ask(&read("large", 1)).body, "a report");
-    assert_eq!(limiter.ask(&read("large", 1)).body, "a report");
-    connections.recv_timeout(HUNG).unwrap();
-    assert!(connections.try_recv().is_err(), "the first connection is used again");
+    let marker = Backend::answering("marker");
+    let (limiter, push) = start_limiter(vec![entry(0)]);
+    assert_eq!(limiter.request(&get_request("large", 1)).body, "a report");
+    assert_eq!(limiter.request(&get_request("large", 1)).body, "a report");
+    connections.recv_timeout(HANG_TIMEOUT).unwrap();
+    assert!(connections.try_recv().is_err(), "the first connection is reused");
     let servers = [entry(1000), marker.entry("s-2", "Ready")];
     push.send(json!({"version": 2, "full": false, "servers": servers})).unwrap();
-    while limiter.ask(&read("large", 1)).body != "marker" {}
-    while limiter.ask(&read("large", 1)).body != "a report" {}
-    connections.recv_timeout(HUNG).unwrap();
+    while limiter.request(&get_request("large", 1)).body != "marker" {}
+    while limiter.request(&get_request("large", 1)).body != "a report" {}
+    connections.recv_timeout(HANG_TIMEOUT).unwrap();
 }
 
 #[test]
-fn ready_is_said_only_once_a_destination_is_known() {
-    let destination = Destination::answering("a report");
-    let (limiter, push) = limiter(vec![]);
-    assert_eq!(limiter.ask("GET /ready HTTP/1.1\r\n\r\n").status(), 503);
-    let servers = [destination.entry("s-1", "Ready")];
+fn limiter_is_ready_once_a_backend_is_known() {
+    let backend = Backend::answering("a report");
+    let (limiter, push) = start_limiter(vec![]);
+    assert_eq!(limiter.request("GET /ready HTTP/1.1\r\n\r\n").status(), 503);
+    let servers = [backend.entry("s-1", "Ready")];
     push.send(json!({"version": 2, "full": true, "servers": servers})).unwrap();
-    limiter.until_ready();
-    assert_eq!(limiter.ask(&read("large", 1)).status(), 200);
+    limiter.wait_until_ready();
+    assert_eq!(limiter.request(&get_request("large", 1)).status(), 200);
 }
 
 #[test]
-fn a_silent_counter_holds_up_nothing_and_is_called_anew() {
-    let destination = Destination::answering("a report");
+fn silent_quota_counter_delays_nothing_and_is_redialled() {
+    let backend = Backend::answering("a report");
     let (discovery, _push) = discovery();
-    let (counter, connections) = counter(false);
-    let limiter = Limiter::start(&config(discovery, counter, vec![destination.entry("s-1", "Ready")]));
-    connections.recv_timeout(HUNG).unwrap();
-    assert_eq!(limiter.ask(&read("small", 2)).status(), 200);
-    // The share of the quota still binds, and the silent connection is given up for a new one.
-    assert_eq!(limiter.ask(&read("small", 2)).status(), 200);
-    assert_eq!(limiter.ask(&read("small", 2)).status(), 429);
-    connections.recv_timeout(HUNG).expect("a second connection");
+    let (counter, connections) = quota_counter(false);
+    let limiter = Limiter::start(&config(discovery, counter, vec![backend.entry("s-1", "Ready")]));
+    connections.recv_timeout(HANG_TIMEOUT).unwrap();
+    assert_eq!(limiter.request(&get_request("small", 2)).status(), 200);
+    // The limiter's even share of the quota still applies, and the limiter replaces the silent connection by a new one.
+    assert_eq!(limiter.request(&get_request("small", 2)).status(), 200);
+    assert_eq!(limiter.request(&get_request("small", 2)).status(), 429);
+    connections.recv_timeout(HANG_TIMEOUT).expect("a second connection");
 }
 
 #[test]
-fn a_client_that_goes_away_is_told_to_the_module() {
-    let (destination, release) = Destination::holding();
-    let (mut limiter, _push) = limiter(vec![destination.entry("s-1", "Ready")]);
+fn client_disconnect_abandons_the_request() {
+    let (backend, release) = Backend::holding_answers();
+    let (mut limiter, _push) = start_limiter(vec![backend.entry("s-1", "Ready")]);
     let mut client = limiter.connect();
-    client.write(&read("large", 1));
-    destination.until_asked();
+    client.write(&get_request("large", 1));
+    backend.wait_for_request();
     drop(client);
     while !limiter.counters().contains(" abandoned=1 ") {}
     release.send(()).unwrap();
@@ -306,71 +309,74 @@
 }
 
 #[test]
-fn told_to_stop_it_answers_what_it_has_and_leaves() {
-    let (destination, release) = Destination::holding();
-    let (limiter, _push) = limiter(vec![destination.entry("s-1", "Ready")]);
+fn graceful_shutdown_answers_open_requests() {
+    let (backend, release) = Backend::holding_answers();
+    let (limiter, _push) = start_limiter(vec![backend.entry("s-1", "Ready")]);
     let (mut busy, mut idle) = (limiter.connect(), limiter.connect());
-    assert_eq!(idle.ask("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
-    busy.write(&read("large", 1));
-    destination.until_asked();
+    assert_eq!(idle.request("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
+    busy.write(&get_request("large", 1));
+    backend.wait_for_request();
     limiter.signal("TERM");
-    assert!(idle.answer().is_none(), "an idle downstream connection is closed");
+    assert!(idle.read_answer().is_none(), "an idle downstream connection is closed");
     release.send(()).unwrap();
-    let answer = busy.answer().expect("what was taken is answered");
+    let answer = busy.read_answer().expect("the open request is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    let (status, log) = limiter.end();
+    let (status, log) = limiter.wait_for_exit();
     assert!(status.success(), "{log}");
     assert!(log.contains("counters:") && log.contains(" served=1 "), "{log}");
 }
 
-/// Discovery and the counter move under a request, whether or not the environment named discovery at the
-/// start; versions of the next discovery begin anew, and a drain told by the former one holds.
+/// Discovery and the quota counter move to new addresses during a request, with and without `LB_DISCOVERY` set at the
+/// start. The new discovery restarts its version numbers, and a drain announced by the old one still applies.
 #[test]
-fn a_reload_moves_the_list_and_the_counter_without_losing_a_request() {
+fn reload_moves_discovery_and_quota_counter_without_losing_a_request() {
     for from_environment in [false, true] {
-        let (held, release) = Destination::holding();
-        let (drained, next) = (Destination::answering("drained"), Destination::answering("next"));
+        let (holding, release) = Backend::holding_answers();
+        let (draining, next) = (Backend::answering("drained"), Backend::answering("next"));
         let (discovery_a, push_a) = discovery();
         let (discovery_b, push_b) = discovery();
-        let ((counter_a, connected_a), (counter_b, connected_b)) = (counter(true), counter(true));
-        let servers = vec![held.entry("s-1", "Ready"), drained.entry("s-2", "Terminating")];
+        let ((counter_a, connected_a), (counter_b, connected_b)) = (quota_counter(true), quota_counter(true));
+        let servers = vec![holding.entry("s-1", "Ready"), draining.entry("s-2", "Terminating")];
         let mut settings = config(discovery_a, counter_a, servers);
         settings["known"]["version"] = json!(50);
-        let mut limiter = Limiter::start_with(&settings, from_environment.then_some(discovery_a));
-        connected_a.recv_timeout(HUNG).expect("the first counter is called");
+        let mut limiter = Limiter::start_with_discovery(&settings, from_environment.then_some(discovery_a));
+        connected_a.recv_timeout(HANG_TIMEOUT).expect("the first quota counter is dialled");
         let mut client = limiter.connect();
-        client.write(&read("large", 1));
-        held.until_asked();
+        client.write(&get_request("large", 1));
+        holding.wait_for_request();
 
-        assert!(limiter.reload("{").contains("refused"), "a faulty file changes nothing");
+        assert!(limiter.reload("{").contains("refused"), "an invalid file is refused");
         assert!(connected_b.try_recv().is_err());
         settings["discovery"] = json!(discovery_b.to_string());
         settings["counter"] = json!(counter_b.to_string());
-        let said = limiter.reload(&settings.to_string());
-        assert!(said.contains(&discovery_b.to_string()), "{said}");
-        connected_b.recv_timeout(HUNG).expect("the next counter is called");
+        let log_line = limiter.reload(&settings.to_string());
+        assert!(log_line.contains(&discovery_b.to_string()), "{log_line}");
+        connected_b.recv_timeout(HANG_TIMEOUT).expect("the next quota counter is dialled");
         let servers =
-            [held.entry("s-1", "Terminating"), drained.entry("s-2", "Ready"), next.entry("s-3", "Ready")];
+            [holding.entry("s-1", "Terminating"), draining.entry("s-2", "Ready"), next.entry("s-3", "Ready")];
         push_b.send(json!({"version": 3, "full": true, "servers": servers})).unwrap();
         while !limiter.counters().contains(" list_changes=1 ") {}
         for _ in 0..20 {
-            assert_eq!(limiter.ask(&read("large", 1)).body, "next");
+            assert_eq!(limiter.request(&get_request("large", 1)).body, "next");
         }
         release.send(()).unwrap();
-        assert_eq!(client.answer().expect("it was taken before the move").body, "a report");
-        assert_eq!(drained.count(), 0);
+        assert_eq!(
+            client.read_answer().expect("an answer to the request from before the reload").body,
+            "a report"
+        );
+        assert_eq!(draining.request_count(), 0);
         assert!(limiter.counters().contains(" reloads=1 reloads_refused=1 "));
         drop(push_a);
     }
 }
 
 #[test]
-fn a_faulty_configuration_is_refused_by_its_key() {
+fn configuration_errors_name_the_key() {
     let nowhere = "127.0.0.1:1".parse().unwrap();
-    let sound = self::config(nowhere, nowhere, vec![]);
+    let valid = self::config(nowhere, nowhere, vec![]);
     let with = |path: &str, value: Value| {
-        let mut config = sound.clone();
-        *config.pointer_mut(path).expect("the key is there") = value;
+        let mut config = valid.clone();
+        *config.pointer_mut(path).expect("the key exists") = value;
         config.to_string()
     };
     for (config, key) in [
@@ -418,23 +424,29 @@
         assert!(!out.status.success() && log.contains(key), "{key}: {log}");
         assert!(!log.contains("panicked"), "{log}");
     }
-    // The same is refused at a reload, and what ran goes on.
-    let destination = Destination::answering("a report");
+    // A reload refuses an invalid file too, and the limiter keeps running with the previous one.
+    let backend = Backend::answering("a report");
     let (discovery, _push) = discovery();
-    let (counter, _) = counter(true);
-    let running = self::config(discovery, counter, vec![destination.entry("s-1", "Ready")]);
+    let (counter, _) = quota_counter(true);
+    let running = self::config(discovery, counter, vec![backend.entry("s-1", "Ready")]);
     let mut limiter = Limiter::start(&running);
-    let mut faulty = running.clone();
-    faulty["settings"]["plans"][0]["rate"] = json!(-2);
-    faulty["discovery"] = json!("127.0.0.1:1");
-    let told = limiter.reload(&faulty.to_string());
-    assert!(told.contains("refused") && told.contains("settings.plans[0].rate: -2, expected"), "{told}");
-    assert_eq!(limiter.ask(&read("large", 1)).status(), 200);
-    // A key that nobody knows does no harm.
+    let mut invalid = running.clone();
+    invalid["settings"]["plans"][0]["rate"] = json!(-2);
+    invalid["discovery"] = json!("127.0.0.1:1");
+    let log_line = limiter.reload(&invalid.to_string());
+    assert!(
+        log_line.contains("refused") && log_line.contains("settings.plans[0].rate: -2, expected"),
+        "{log_line}"
+    );
+    assert_eq!(limiter.request(&get_request("large", 1)).status(), 200);
+    // Unknown keys are ignored.
     let mut unknown = running;
     unknown["settings"]["caps"]["moonPhase"] = json!({"full": true});
-    let told = limiter.reload(&unknown.to_string());
-    assert!(!told.contains("refused"), "{told}");
-    let unset = command("{}").env_remove("LB_CONFIG").output().expect("the program starts");
-    assert!(!unset.status.success() && String::from_utf8_lossy(&unset.stderr).contains("LB_CONFIG"));
+    let log_line = limiter.reload(&unknown.to_string());
+    assert!(!log_line.contains("refused"), "{log_line}");
+    let without_config = command("{}").env_remove("LB_CONFIG").output().expect("the program starts");
+    assert!(
+        !without_config.status.success()
+            && String::from_utf8_lossy(&without_config.stderr).contains("LB_CONFIG")
+    );
 }
--- a/tests/limiter/pool.rs
+++ b/tests/limiter/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to a backend.
+//! Connection pool of a backend.
 
 use std::io::BufReader;
 use std::net::TcpListener;
@@ -10,59 +10,59 @@
 use crate::harness::*;
 use crate::script::Unopened;
 
-/// After so long a backend closes an idle connection; the limiter closes it before.
+/// Time after which a backend closes an idle connection. The limiter must close it earlier.
 const KEEPALIVE: Duration = Duration::from_millis(1_500);
 
-/// A limiter before `backend`, and what keeps its discovery open.
-fn limiter_of(backend: Value) -> (Limiter, Sender<Value>) {
+/// Starts a limiter with one backend. The sender keeps its discovery open.
+fn start_limiter_with(backend: Value) -> (Limiter, Sender<Value>) {
     let (discovery, push) = discovery();
-    let (counter, _) = counter(true);
+    let (counter, _) = quota_counter(true);
     let mut config = config(discovery, counter, vec![backend]);
     config["settings"]["caps"]["connectTimeoutMs"] = json!(7000.0);
     config["settings"]["caps"]["keepaliveMs"] = json!(KEEPALIVE.as_millis() as f64);
     (Limiter::start(&config), push)
 }
 
-/// Two requests at once need two connections; while the second is dialled, the first one becomes free.
+/// Two concurrent requests need two connections. While the limiter dials the second one, the first one becomes idle.
 #[test]
-fn a_request_that_waits_for_a_dial_takes_a_connection_that_becomes_idle() {
+fn request_waiting_for_a_dial_uses_a_connection_that_becomes_idle() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a port");
-    let address = listener.local_addr().expect("it is bound");
-    let (mut limiter, _push) = limiter_of(entry(address, "s-1", "Ready", 0));
+    let address = listener.local_addr().expect("the listener is bound");
+    let (mut limiter, _push) = start_limiter_with(entry(address, "s-1", "Ready", 0));
     let mut clients = [limiter.connect(), limiter.connect()];
-    clients[0].write(&read("large", 1));
+    clients[0].write(&get_request("large", 1));
     let (mut stream, _) = listener.accept().expect("the limiter dials");
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
     let first = read_message(&mut reader).expect("the first request");
     let unopened = Unopened::shut(listener);
-    clients[1].write(&read("large", 1));
-    limiter.until(|count| count("dials") == 2);
-    ok(&mut stream, "a report");
+    clients[1].write(&get_request("large", 1));
+    limiter.wait_for_counters(|count| count("dials") == 2);
+    respond_ok(&mut stream, "a report");
     let second = read_message(&mut reader).expect("the second request on the same connection");
     assert_ne!(first.header("x-request-id"), second.header("x-request-id"));
-    ok(&mut stream, "a report");
+    respond_ok(&mut stream, "a report");
     for client in &mut clients {
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        assert_eq!(client.read_answer().expect("an answer").status(), 200);
     }
-    // The dial goes on, and the connection that it opens is closed like any other that is idle.
+    // The dial continues, and its connection is closed like any idle one.
     let listener = unopened.open();
-    let (spare, _) = listener.accept().expect("the dial went on");
+    let (spare, _) = listener.accept().expect("the dial continues");
     assert!(read_message(&mut BufReader::new(spare)).is_none());
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_its_backend_would_close_it() {
+fn idle_connection_is_closed_before_the_backend_closes_it() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a port");
-    let address = listener.local_addr().expect("it is bound");
-    let (limiter, _push) = limiter_of(entry(address, "s-1", "Ready", 0));
+    let address = listener.local_addr().expect("the listener is bound");
+    let (limiter, _push) = start_limiter_with(entry(address, "s-1", "Ready", 0));
     let mut client = limiter.connect();
-    client.write(&read("large", 1));
+    client.write(&get_request("large", 1));
     let (mut stream, _) = listener.accept().expect("the limiter dials");
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
     read_message(&mut reader).expect("the request");
-    ok(&mut stream, "a report");
+    respond_ok(&mut stream, "a report");
     let idle_since = Instant::now();
     assert!(read_message(&mut reader).is_none());
     assert!(idle_since.elapsed() < KEEPALIVE, "closed after {:?}", idle_since.elapsed());
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.read_answer().expect("an answer").status(), 200);
 }
--- a/tests/limiter/shutdown.rs
+++ b/tests/limiter/shutdown.rs
@@ -1,90 +1,90 @@
-//! The program's end against what crosses it.
+//! Graceful shutdown while requests and connections arrive.
 
 use crate::harness::*;
 use crate::script::reset;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Tells the limiter to stop, and waits until a connection that rests has been closed for it: one that was accepted
-/// later than those under test, so that their turn has come before.
-fn stop_and_wait_for_a_close(limiter: &Limiter) {
-    let mut resting = limiter.connect();
-    assert_eq!(resting.ask(&read("large", 1)).status(), 200);
+/// Sends SIGTERM and waits until the limiter has closed an idle connection. That connection is the last one accepted,
+/// so the limiter has handled the connections under test by then.
+fn stop_and_wait_for_idle_close(limiter: &Limiter) {
+    let mut idle = limiter.connect();
+    assert_eq!(idle.request(&get_request("large", 1)).status(), 200);
     limiter.signal("TERM");
-    assert!(resting.answer().is_none(), "it is closed");
+    assert!(idle.read_answer().is_none(), "the idle connection is closed");
 }
 
-/// Half of a next request has been read on a connection that rested: it is answered, not dropped.
+/// The limiter has read half of the next request on a persistent connection when it stops. It must answer that request.
 #[test]
-fn a_request_half_written_on_a_resting_connection_is_answered_before_the_end() {
-    let destination = Destination::answering("a report");
-    let (limiter, _push) = crate::limiter(vec![destination.entry("s-1", "Ready")]);
+fn half_written_request_is_answered_during_shutdown() {
+    let backend = Backend::answering("a report");
+    let (limiter, _push) = crate::start_limiter(vec![backend.entry("s-1", "Ready")]);
     let mut client = limiter.connect();
-    assert_eq!(client.ask(&read("large", 1)).status(), 200);
-    let next = read("large", 1);
+    assert_eq!(client.request(&get_request("large", 1)).status(), 200);
+    let next = get_request("large", 1);
     let (half, rest) = next.split_at(next.len() / 2);
     client.write(half);
-    // What came on a connection before an answer on another one has been read by then.
-    assert_eq!(limiter.ask(&read("large", 1)).status(), 200);
-    stop_and_wait_for_a_close(&limiter);
+    // Once this later request is answered, the limiter has also read the half request.
+    assert_eq!(limiter.request(&get_request("large", 1)).status(), 200);
+    stop_and_wait_for_idle_close(&limiter);
     client.write(rest);
-    let answer = client.answer().expect("an answer");
+    let answer = client.read_answer().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    let (status, _) = limiter.end();
+    let (status, _) = limiter.wait_for_exit();
     assert!(status.success());
 }
 
-/// A second order to stop changes nothing: what was taken is answered.
+/// Further stop signals change nothing: open requests are still answered.
 #[test]
-fn told_twice_to_stop_it_still_answers_what_it_has() {
-    let (destination, release) = Destination::holding();
-    let (limiter, _push) = crate::limiter(vec![destination.entry("s-1", "Ready")]);
+fn repeated_stop_signals_do_not_drop_open_requests() {
+    let (backend, release) = Backend::holding_answers();
+    let (limiter, _push) = crate::start_limiter(vec![backend.entry("s-1", "Ready")]);
     let mut client = limiter.connect();
-    client.write(&read("large", 1));
-    destination.until_asked();
+    client.write(&get_request("large", 1));
+    backend.wait_for_request();
     limiter.signal("TERM");
-    while limiter.connect().ask("GET /ready HTTP/1.1\r\n\r\n").status() == 200 {}
+    while limiter.connect().request("GET /ready HTTP/1.1\r\n\r\n").status() == 200 {}
     limiter.signal("TERM");
     limiter.signal("INT");
     release.send(()).unwrap();
-    assert_eq!(client.answer().expect("an answer").status(), 200);
-    let (status, _) = limiter.end();
+    assert_eq!(client.read_answer().expect("an answer").status(), 200);
+    let (status, _) = limiter.wait_for_exit();
     assert!(status.success());
 }
 
-/// Connections that the machine accepted while the program stood still, with a request each, and one that is reset.
+/// The kernel accepts connections while the program is suspended: some with a request each, and one that is reset.
 #[test]
-fn what_the_machine_accepted_before_the_listener_closed_is_answered() {
-    let destination = Destination::answering("a report");
-    let (limiter, _push) = crate::limiter(vec![destination.entry("s-1", "Ready")]);
-    limiter.until_ready();
+fn connections_accepted_before_the_listener_closes_are_answered() {
+    let backend = Backend::answering("a report");
+    let (limiter, _push) = crate::start_limiter(vec![backend.entry("s-1", "Ready")]);
+    limiter.wait_until_ready();
     limiter.signal("STOP");
     let mut clients: Vec<Client> = (0..5)
         .map(|_| {
             let mut client = limiter.connect();
-            client.write(&read("large", 1));
+            client.write(&get_request("large", 1));
             client
         })
         .collect();
-    reset(TcpStream::connect(limiter.address).expect("the machine accepts"));
+    reset(TcpStream::connect(limiter.address).expect("the kernel accepts"));
     limiter.signal("TERM");
-    // Frozen for longer than it goes on accepting after the order to stop.
+    // Longer than the limiter keeps accepting connections after SIGTERM.
     std::thread::sleep(Duration::from_millis(600));
     limiter.signal("CONT");
     for client in &mut clients {
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        assert_eq!(client.read_answer().expect("an answer").status(), 200);
     }
-    let (status, _) = limiter.end();
+    let (status, _) = limiter.wait_for_exit();
     assert!(status.success());
 }
 
-/// A request that is taken late in a stop has its answer before the program ends, though its client would wait for longer
-/// and its server hangs.
+/// A request that is admitted late in a shutdown is answered before the program ends, although its deadline is later
+/// and its backend hangs.
 #[test]
-fn what_is_taken_late_in_a_stop_is_answered_before_the_end() {
-    let (hanging, _release) = Destination::holding();
+fn request_admitted_late_in_shutdown_is_answered_before_exit() {
+    let (hanging, _release) = Backend::holding_answers();
     let (discovery, _push) = discovery();
-    let (counter, _) = counter(true);
+    let (counter, _) = quota_counter(true);
     let mut config = config(discovery, counter, vec![hanging.entry("s-1", "Ready")]);
     for profile in config["settings"]["profiles"].as_array_mut().expect("a list") {
         profile["deadlineMs"] = serde_json::json!(3000.0);
@@ -92,40 +92,40 @@
     }
     let limiter = Limiter::start(&config);
     let mut client = limiter.connect();
-    assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
-    let late = read("large", 1);
-    let (half, rest) = late.split_at(late.len() / 2);
+    assert_eq!(client.request("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
+    let late_request = get_request("large", 1);
+    let (half, rest) = late_request.split_at(late_request.len() / 2);
     client.write(half);
-    assert_eq!(limiter.ask("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
+    assert_eq!(limiter.request("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
     limiter.signal("TERM");
-    // Later than the 0.6 s that are left for leaving: its 3 s end after the program.
+    // Later than the 0.6 s margin of the shutdown, so the request's 3 s deadline is after the end of the program.
     std::thread::sleep(Duration::from_millis(1_200));
     client.write(rest);
-    assert!(client.answer().is_some(), "it has its one answer");
-    let (status, _) = limiter.end();
+    assert!(client.read_answer().is_some(), "the late request is answered");
+    let (status, _) = limiter.wait_for_exit();
     assert!(status.success());
 }
 
-/// What SIGKILL finds unanswered is lost where it came more than 0.7 s after SIGTERM, and SIGKILL may come as soon as the
-/// longest deadline, counted as 3 s where it is longer, and 0.7 s have passed. The longest deadline here is 8 s; a request
-/// that was taken 1.2 s after SIGTERM and whose server hangs was answered 8.5 s after it.
+/// SIGKILL may follow SIGTERM after the longest deadline, counted as 3 s at most, plus 0.7 s. A request that arrived
+/// more than 0.7 s after SIGTERM and is still unanswered is lost then. With a longest deadline of 8 s, a request that
+/// was admitted 1.2 s after SIGTERM and whose backend hung was once answered only 8.5 s after SIGTERM.
 #[test]
-fn what_is_taken_late_in_a_stop_is_answered_before_the_earliest_kill() {
+fn request_admitted_late_in_shutdown_is_answered_before_the_earliest_kill() {
     const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
-    let (hanging, _release) = Destination::holding();
+    let (hanging, _release) = Backend::holding_answers();
     let (discovery, _push) = discovery();
-    let (counter, _) = counter(true);
+    let (counter, _) = quota_counter(true);
     let limiter = Limiter::start(&config(discovery, counter, vec![hanging.entry("s-1", "Ready")]));
     let mut client = limiter.connect();
-    assert_eq!(client.ask("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
-    let late = read("large", 1);
-    let (half, rest) = late.split_at(late.len() / 2);
+    assert_eq!(client.request("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
+    let late_request = get_request("large", 1);
+    let (half, rest) = late_request.split_at(late_request.len() / 2);
     client.write(half);
-    assert_eq!(limiter.ask("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
-    let told = Instant::now();
+    assert_eq!(limiter.request("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
+    let signaled_at = Instant::now();
     limiter.signal("TERM");
     std::thread::sleep(Duration::from_millis(1_200));
     client.write(rest);
-    assert!(client.answer().is_some(), "it has its one answer");
-    assert!(told.elapsed() < EARLIEST_KILL, "answered {:?} after SIGTERM", told.elapsed());
+    assert!(client.read_answer().is_some(), "the late request is answered");
+    assert!(signaled_at.elapsed() < EARLIEST_KILL, "answered {:?} after SIGTERM", signaled_at.elapsed());
 }
--- a/tests/limiter/size.rs
+++ b/tests/limiter/size.rs
@@ -1,4 +1,4 @@
-//! A limiter among 1,100 others and before 1,100 servers, within the least of the platform's limits.
+//! A limiter with 1,100 peers and 1,100 backends, within the smallest resource limits of the platform.
 
 use std::sync::Arc;
 use std::thread;
@@ -7,63 +7,73 @@
 
 use crate::harness::*;
 
-const MANY: usize = 1_100;
-/// What a limiter may hold at the least: memory in kB, and descriptors.
-const MEMORY_KB: u64 = 32 << 10;
-const SOCKETS: usize = 256;
-/// Clients that ask side by side, and what each asks.
+/// Number of limiters and of backends.
+const FLEET_SIZE: usize = 1_100;
+/// Smallest memory limit of a limiter, in kB.
+const MEMORY_LIMIT_KB: u64 = 32 << 10;
+/// Smallest limit of file descriptors.
+const DESCRIPTOR_LIMIT: usize = 256;
+/// Number of concurrent clients.
 const CLIENTS: usize = 48;
-const ASKS: usize = 25;
+/// Number of requests of each client.
+const REQUESTS_PER_CLIENT: usize = 25;
 
-/// Asks from many clients at once, and gives how many were served.
-fn served(limiter: &Arc<Limiter>) -> usize {
+/// Sends requests from many clients at once, and returns how many were served.
+fn served_count(limiter: &Arc<Limiter>) -> usize {
     let clients = (0..CLIENTS).map(|_| {
         let limiter = limiter.clone();
         thread::spawn(move || {
             let mut client = limiter.connect();
-            (0..ASKS).filter(|_| client.ask(&read("large", 1)).status() == 200).count()
+            (0..REQUESTS_PER_CLIENT)
+                .filter(|_| client.request(&get_request("large", 1)).status() == 200)
+                .count()
         })
     });
     let clients: Vec<_> = clients.collect();
     clients.into_iter().map(|c| c.join().expect("a client")).sum()
 }
 
-/// The lists that the platform hands out may be as long, and indented; nothing is cut, and nothing is opened, kept or
-/// started for each of them. The server at which all 1,100 stand is one listener.
+/// Endpoint lists of this length, also with indentation, are applied completely. The limiter opens no descriptor,
+/// starts no thread and keeps little memory for each entry. All 1,100 backends are one listener.
 #[test]
-fn lists_of_1100_limiters_and_1100_servers_are_taken_whole_within_the_least_limits() {
-    let destination = Destination::answering("a report");
-    let (discovery, push) = discovery_wording(|list| format!("{list:#}"));
-    let (counter, _) = counter(true);
+fn lists_of_1100_limiters_and_backends_fit_the_smallest_limits() {
+    let backend = Backend::answering("a report");
+    let (discovery, push) = discovery_with_format(|list| format!("{list:#}"));
+    let (counter, _) = quota_counter(true);
     let servers = |from: usize| -> Vec<Value> {
-        (from..from + MANY).map(|n| destination.entry(&format!("s-{n}"), "Ready")).collect()
+        (from..from + FLEET_SIZE).map(|n| backend.entry(&format!("s-{n}"), "Ready")).collect()
     };
-    let mut told = config(discovery, counter, servers(0));
+    let mut config = config(discovery, counter, servers(0));
     let peers: Vec<String> =
-        (0..MANY).map(|n| format!("127.0.{}.{}:7946", n / 250 + 1, n % 250 + 1)).collect();
-    told["ops"] = json!("127.0.0.1:0");
-    told["limits"]["sockets"] = json!(SOCKETS);
-    told["peer_listen"] = json!("127.0.0.1:0");
-    told["peers"] = json!(peers);
-    told["settings"]["caps"]["peerMessages"] = json!(true);
-    told["settings"]["nInstances"] = json!(MANY);
-    // One limiter brings all of the load here, which many are to bring together.
-    told["settings"]["plans"][1]["rate"] = json!(1e7);
-    told["settings"]["plans"][1]["mostAtOnce"] = json!(1e7);
-    let limiter = Arc::new(Limiter::start(&told));
-    limiter.until_ready();
-    assert_eq!(limiter.figure("members"), MANY as u64);
-    let before = served(&limiter);
-    // All servers are replaced by one list, and then one entry of it changes.
-    push.send(json!({"version": 2, "full": true, "servers": servers(MANY)})).expect("the watch stands");
-    let gone = |n: usize| json!({"version": 3, "full": false, "servers": [destination.entry(&format!("s-{n}"), "Gone")]});
-    push.send(gone(MANY)).expect("the watch stands");
-    while limiter.figure("members") != MANY as u64 - 1 {
+        (0..FLEET_SIZE).map(|n| format!("127.0.{}.{}:7946", n / 250 + 1, n % 250 + 1)).collect();
+    config["ops"] = json!("127.0.0.1:0");
+    config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT);
+    config["peer_listen"] = json!("127.0.0.1:0");
+    config["peers"] = json!(peers);
+    config["settings"]["caps"]["peerMessages"] = json!(true);
+    config["settings"]["nInstances"] = json!(FLEET_SIZE);
+    // This limiter alone gets the load that is meant for all limiters together.
+    config["settings"]["plans"][1]["rate"] = json!(1e7);
+    config["settings"]["plans"][1]["mostAtOnce"] = json!(1e7);
+    let limiter = Arc::new(Limiter::start(&config));
+    limiter.wait_until_ready();
+    assert_eq!(limiter.admin_stat("members"), FLEET_SIZE as u64);
+    let before = served_count(&limiter);
+    // One list replaces all backends, and then one of its entries changes.
+    push.send(json!({"version": 2, "full": true, "servers": servers(FLEET_SIZE)}))
+        .expect("the watch is open");
+    let gone = |n: usize| json!({"version": 3, "full": false, "servers": [backend.entry(&format!("s-{n}"), "Gone")]});
+    push.send(gone(FLEET_SIZE)).expect("the watch is open");
+    while limiter.admin_stat("members") != FLEET_SIZE as u64 - 1 {
         thread::yield_now();
     }
-    let after = served(&limiter);
-    assert!(before > 0 && after > 0, "served {before}, and {after} with the next list");
-    assert!(limiter.status("VmHWM") <= MEMORY_KB, "{} kB", limiter.status("VmHWM"));
-    assert!(limiter.descriptors() <= SOCKETS, "{} descriptors", limiter.descriptors());
-    assert_eq!(limiter.status("Threads"), 1, "one thread, whatever the size");
+    let after = served_count(&limiter);
+    assert!(before > 0 && after > 0, "served {before} before and {after} after the list was replaced");
+    assert!(limiter.proc_status("VmHWM") <= MEMORY_LIMIT_KB, "{} kB", limiter.proc_status("VmHWM"));
+    assert!(limiter.open_descriptors() <= DESCRIPTOR_LIMIT, "{} descriptors", limiter.open_descriptors());
+    assert_eq!(
+        limiter.proc_status("Threads"),
+        1,
+        "the number of threads must not depend on the number of backends"
+    );
 }
--- a/tests/limiter/upgrade.rs
+++ b/tests/limiter/upgrade.rs
@@ -1,4 +1,4 @@
-//! Two processes on one set of addresses: a restart and an upgrade, as operators make them.
+//! Restarts and upgrades: a second process on the same addresses, after or beside the first one.
 
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -11,157 +11,167 @@
 
 use crate::harness::*;
 
-/// From SIGTERM to the moment at which a process takes no more connections, and some.
-const PAST_CLOSING: Duration = Duration::from_millis(700);
+/// Longer than the time from SIGTERM until a process stops accepting connections.
+const UNTIL_CLOSED: Duration = Duration::from_millis(700);
 
-/// What the processes of one limiter share.
-struct Site {
-    servers: [Destination; 2],
+/// Configuration, backends and services that the processes of one limiter share.
+struct Deployment {
+    backends: [Backend; 2],
     config: Value,
-    folder: PathBuf,
-    _held: Socket,
+    directory: PathBuf,
+    _port_holder: Socket,
     _push: Sender<Value>,
 }
 
-impl Site {
-    fn new(name: &str) -> Site {
-        let servers = [Destination::answering("a report"), Destination::answering("a report")];
-        let entries = vec![servers[0].entry("s-1", "Ready"), servers[1].entry("s-2", "Ready")];
+impl Deployment {
+    fn new(name: &str) -> Deployment {
+        let backends = [Backend::answering("a report"), Backend::answering("a report")];
+        let entries = vec![backends[0].entry("s-1", "Ready"), backends[1].entry("s-2", "Ready")];
         let (discovery, push) = discovery();
-        let (counter, _) = counter(true);
+        let (counter, _) = quota_counter(true);
         let mut config = config(discovery, counter, entries);
-        // A port that nobody else gets: held by a socket that does not listen.
-        let held = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        held.set_reuse_port(true).expect("an option");
-        held.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
-        let port = held.local_addr().expect("bound").as_socket().expect("an address");
-        config["listen"] = json!(port.to_string());
+        // A bound socket that does not listen reserves the port for the processes of this test.
+        let port_holder = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        port_holder.set_reuse_port(true).expect("an option");
+        port_holder.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
+        let address = port_holder.local_addr().expect("the socket is bound").as_socket().expect("an address");
+        config["listen"] = json!(address.to_string());
         config["ops"] = json!("127.0.0.1:0");
-        let folder =
+        let directory =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("the target folder can be written");
-        Site { servers, config, folder, _held: held, _push: push }
+        let _ = std::fs::remove_dir_all(&directory);
+        std::fs::create_dir_all(&directory).expect("the target directory can be written");
+        Deployment { backends, config, directory, _port_holder: port_holder, _push: push }
     }
 
     fn start(&self) -> Limiter {
-        let limiter = Limiter::start_in(&self.config, &[("TMPDIR", self.folder.display().to_string())]);
-        limiter.until_ready();
+        let limiter =
+            Limiter::start_with_env(&self.config, &[("TMPDIR", self.directory.display().to_string())]);
+        limiter.wait_until_ready();
         limiter
     }
 
-    /// Requests on connections of their own: whichever process takes them.
-    fn ask(&self, limiter: &Limiter, count: u32) {
+    /// Sends requests, each on its own connection. Any process of the limiter may accept it.
+    fn send_requests(&self, limiter: &Limiter, count: u32) {
         for _ in 0..count {
-            assert_eq!(limiter.ask(&read("large", 1)).status(), 200);
+            assert_eq!(limiter.request(&get_request("large", 1)).status(), 200);
         }
     }
 }
 
-impl Drop for Site {
+impl Drop for Deployment {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-fn until(limiter: &Limiter, out: u64) {
-    while limiter.figure("members_unavailable") != out {
+/// Waits until a limiter reports a number of unavailable backends.
+fn wait_for_unavailable(limiter: &Limiter, count: u64) {
+    while limiter.admin_stat("members_unavailable") != count {
         thread::yield_now();
     }
 }
 
 #[test]
-fn a_server_taken_out_stays_out_across_a_restart() {
-    let site = Site::new("restart");
-    let first = site.start();
-    assert_eq!(first.call("PUT", "cordon?name=s-1").body, "{\"cordoned\":[\"s-1\"]}\n");
-    site.ask(&first, 10);
-    // Killed outright.
+fn cordon_survives_a_restart() {
+    let deployment = Deployment::new("restart");
+    let first = deployment.start();
+    assert_eq!(first.call_admin("PUT", "cordon?name=s-1").body, "{\"cordoned\":[\"s-1\"]}\n");
+    deployment.send_requests(&first, 10);
+    // Dropping the limiter kills its process.
     drop(first);
-    let second = site.start();
-    site.ask(&second, 10);
-    assert_eq!((site.servers[0].count(), second.figure("members_unavailable")), (0, 1));
-    assert_eq!(second.call("PUT", "uncordon?name=s-1").body, "{\"cordoned\":[]}\n");
-    // How soon it is met again is for the decisions to say.
-    while site.servers[0].count() == 0 {
-        assert_eq!(second.ask(&read("large", 1)).status(), 200);
+    let second = deployment.start();
+    deployment.send_requests(&second, 10);
+    assert_eq!((deployment.backends[0].request_count(), second.admin_stat("members_unavailable")), (0, 1));
+    assert_eq!(second.call_admin("PUT", "uncordon?name=s-1").body, "{\"cordoned\":[]}\n");
+    // The limiter decides how soon it sends requests to the backend again.
+    while deployment.backends[0].request_count() == 0 {
+        assert_eq!(second.request(&get_request("large", 1)).status(), 200);
     }
 }
 
 #[test]
-fn both_processes_of_an_upgrade_go_by_a_word_to_either() {
-    let site = Site::new("both");
-    let old = site.start();
-    let new = site.start();
-    for (told, other, name, server) in [(&old, &new, "s-1", 0), (&new, &old, "s-2", 1)] {
-        assert_eq!(told.call("PUT", &format!("cordon?name={name}")).status(), 200);
-        until(other, 1);
-        let before = site.servers[server].count();
-        site.ask(&new, 40);
-        assert_eq!(site.servers[server].count(), before, "{name} is out at both");
-        // A call back at the other one undoes it at both.
-        assert_eq!(other.call("PUT", &format!("uncordon?name={name}")).status(), 200);
-        until(told, 0);
+fn cordon_applies_to_both_processes_of_an_upgrade() {
+    let deployment = Deployment::new("both");
+    let old = deployment.start();
+    let new = deployment.start();
+    for (called, other, name, index) in [(&old, &new, "s-1", 0), (&new, &old, "s-2", 1)] {
+        assert_eq!(called.call_admin("PUT", &format!("cordon?name={name}")).status(), 200);
+        wait_for_unavailable(other, 1);
+        let before = deployment.backends[index].request_count();
+        deployment.send_requests(&new, 40);
+        assert_eq!(
+            deployment.backends[index].request_count(),
+            before,
+            "{name} is cordoned in both processes"
+        );
+        // A call to the other process undoes the cordon in both.
+        assert_eq!(other.call_admin("PUT", &format!("uncordon?name={name}")).status(), 200);
+        wait_for_unavailable(called, 0);
     }
 }
 
-/// The old process is stopped before, and after, it was told to leave, so that connections wait in the queue of a
+/// The old process is suspended before or after it gets SIGTERM, so that connections wait in the accept queue of a
 /// listener that is about to close.
 #[test]
-fn an_old_process_told_to_stop_answers_what_waits_in_its_queue() {
-    for frozen_first in [true, false] {
-        let site = Site::new("queue");
-        let old = site.start();
-        let new = site.start();
-        let (first, second) = if frozen_first { ("STOP", "TERM") } else { ("TERM", "STOP") };
+fn old_process_answers_its_accept_queue_after_sigterm() {
+    for stop_first in [true, false] {
+        let deployment = Deployment::new("queue");
+        let old = deployment.start();
+        let new = deployment.start();
+        let (first, second) = if stop_first { ("STOP", "TERM") } else { ("TERM", "STOP") };
         old.signal(first);
         old.signal(second);
         let mut clients: Vec<Client> = (0..60).map(|_| old.connect()).collect();
-        clients.iter_mut().for_each(|c| c.write(&read("large", 1)));
-        // Only to bring the moment of closing about: nothing is judged by it.
-        thread::sleep(PAST_CLOSING);
+        clients.iter_mut().for_each(|c| c.write(&get_request("large", 1)));
+        // Lets the time pass at which the listener closes. No assertion depends on the length.
+        thread::sleep(UNTIL_CLOSED);
         old.signal("CONT");
-        let answers: Vec<Option<u16>> = clients.iter_mut().map(|c| c.answer().map(|a| a.status())).collect();
-        assert!(answers.iter().all(|a| *a == Some(200)), "frozen first: {frozen_first}: {answers:?}");
+        let answers: Vec<Option<u16>> =
+            clients.iter_mut().map(|c| c.read_answer().map(|a| a.status())).collect();
+        assert!(answers.iter().all(|a| *a == Some(200)), "SIGSTOP first: {stop_first}: {answers:?}");
         drop(clients);
-        let (status, log) = old.end();
+        let (status, log) = old.wait_for_exit();
         assert!(status.success(), "{log}");
-        site.ask(&new, 5);
+        deployment.send_requests(&new, 5);
         assert!(TcpStream::connect(new.address).is_ok());
     }
 }
 
-/// Silence counts: a server that swallows requests shows among those avoided.
+/// A backend that never answers is reported as unavailable.
 #[test]
-fn a_server_that_swallows_requests_is_told_as_avoided() {
-    let mut site = Site::new("avoided");
-    let (silent, _release) = Destination::holding();
-    site.config["known"]["servers"] =
-        json!([silent.entry("s-1", "Ready"), site.servers[1].entry("s-2", "Ready")]);
-    let limiter = site.start();
+fn silent_backend_is_reported_as_unavailable() {
+    let mut deployment = Deployment::new("unavailable");
+    let (silent, _release) = Backend::holding_answers();
+    deployment.config["known"]["servers"] =
+        json!([silent.entry("s-1", "Ready"), deployment.backends[1].entry("s-2", "Ready")]);
+    let limiter = deployment.start();
     let mut waiting = Vec::new();
-    while silent.count() == 0 {
+    while silent.request_count() == 0 {
         let mut client = limiter.connect();
-        client.write(&read("large", 1));
+        client.write(&get_request("large", 1));
         waiting.push(client);
     }
-    while limiter.figure("members_unavailable") == 0 {
+    while limiter.admin_stat("members_unavailable") == 0 {
         let mut client = limiter.connect();
-        client.write(&read("large", 1));
+        client.write(&get_request("large", 1));
         waiting.push(client);
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// The next process of an upgrade is killed as soon as it listens: the one before goes on, with its cordons.
+/// The new process of an upgrade is killed as soon as it listens. The old one keeps serving, with its cordons.
 #[test]
-fn a_next_process_that_dies_before_it_is_ready_leaves_the_one_before_serving() {
-    let site = Site::new("dying");
-    let running = site.start();
-    assert_eq!(running.call("PUT", "cordon?name=s-2").status(), 200);
+fn old_process_keeps_serving_when_the_new_one_dies_before_it_is_ready() {
+    let deployment = Deployment::new("dying");
+    let running = deployment.start();
+    assert_eq!(running.call_admin("PUT", "cordon?name=s-2").status(), 200);
     for _ in 0..5 {
-        drop(Limiter::start_in(&site.config, &[("TMPDIR", site.folder.display().to_string())]));
-        site.ask(&running, 20);
+        drop(Limiter::start_with_env(
+            &deployment.config,
+            &[("TMPDIR", deployment.directory.display().to_string())],
+        ));
+        deployment.send_requests(&running, 20);
     }
-    assert_eq!(site.servers[1].count(), 0, "it is still cordoned");
+    assert_eq!(deployment.backends[1].request_count(), 0, "s-2 is still cordoned");
 }
--- a/tests/limiter/window.rs
+++ b/tests/limiter/window.rs
@@ -1,4 +1,4 @@
-//! The window in which a repeat is dropped, against a connection that comes up late.
+//! The idempotency window, when a connection takes long to establish.
 
 use std::net::Shutdown;
 use std::sync::mpsc::channel;
@@ -10,37 +10,41 @@
 use crate::harness::*;
 use crate::script::Unopened;
 
-/// The first attempt may have run; the second waits for its connection until the window is over.
+/// The first attempt may have run. The retry waits for its connection until the idempotency window is over.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_window_is_not_sent() {
+fn retry_is_not_sent_after_the_idempotency_window() {
     const WINDOW: Duration = Duration::from_millis(700);
-    let (asked, was_asked) = channel();
-    let (asked, (break_off, breaks)) = (Mutex::new(asked), channel::<()>());
-    let breaks = Mutex::new(breaks);
-    let first = Destination::start(move |stream| {
-        asked.lock().unwrap().send(()).unwrap();
-        let _ = breaks.lock().unwrap().recv();
+    let (received, was_received) = channel();
+    let (received, (close, closed)) = (Mutex::new(received), channel::<()>());
+    let closed = Mutex::new(closed);
+    let first = Backend::start(move |stream| {
+        received.lock().unwrap().send(()).unwrap();
+        let _ = closed.lock().unwrap().recv();
         let _ = stream.shutdown(Shutdown::Both);
     });
     let unopened = Unopened::listen();
-    let late = entry(unopened.address, "s-2", "Ready", 0);
+    let late_entry = entry(unopened.address, "s-2", "Ready", 0);
     let (discovery, push) = discovery();
-    let (counter, _) = counter(true);
+    let (counter, _) = quota_counter(true);
     let mut config = config(discovery, counter, vec![first.entry("s-1", "Ready")]);
     config["settings"]["caps"]["connectTimeoutMs"] = json!(7000.0);
     config["settings"]["profiles"][1]["windowMs"] = json!(WINDOW.as_millis() as f64);
     let mut limiter = Limiter::start(&config);
     let mut client = limiter.connect();
-    client.write(&send("a thesis"));
-    was_asked.recv_timeout(HUNG).unwrap();
-    push.send(json!({"version": 2, "full": false, "servers": [late]})).unwrap();
-    limiter.until(|count| count("list_changes") == 1);
-    break_off.send(()).unwrap();
-    limiter.until(|count| count("dials") == 2);
+    client.write(&post_request("a thesis"));
+    was_received.recv_timeout(HANG_TIMEOUT).unwrap();
+    push.send(json!({"version": 2, "full": false, "servers": [late_entry]})).unwrap();
+    limiter.wait_for_counters(|count| count("list_changes") == 1);
+    close.send(()).unwrap();
+    limiter.wait_for_counters(|count| count("dials") == 2);
     std::thread::sleep(WINDOW);
-    let late = Destination::on(unopened.open(), |stream| ok(stream, "a report"));
-    assert_eq!(client.answer().expect("an answer").status(), 502, "it may have run, and is not sent again");
-    while limiter.ask(&read("large", 1)).status() != 200 {}
-    let seen: Vec<String> = late.seen().into_iter().map(|m| m.first).collect();
-    assert_eq!(seen, ["GET /read/00000000b4d65521?part=1 HTTP/1.1"]);
+    let late = Backend::start_on(unopened.open(), |stream| respond_ok(stream, "a report"));
+    assert_eq!(
+        client.read_answer().expect("an answer").status(),
+        502,
+        "the request may have run, so it is not retried"
+    );
+    while limiter.request(&get_request("large", 1)).status() != 200 {}
+    let forwarded: Vec<String> = late.take_requests().into_iter().map(|m| m.start_line).collect();
+    assert_eq!(forwarded, ["GET /read/00000000b4d65521?part=1 HTTP/1.1"]);
 }
