--- a/tests/compatibility/admin.rs
+++ b/tests/compatibility/admin.rs
@@ -1,13 +1,13 @@
-//! The operators' address: paths, statuses and bodies, and the file of cordons that two processes share.
+//! Admin calls: paths, statuses and bodies, and the cordons file that two processes share.
 
-use super::daemon::{assert_as_recorded, configuration, Daemon, Folder};
+use super::daemon::{assert_matches_recording, configuration, Daemon, TestDirectory};
 
-/// The name of the file follows the clients' address, as it is configured.
-const CORDONS: &str = "sedgestack-cordons-127.0.0.1-0.json";
-/// What a release wrote with two servers out, one of them no longer listed.
-const RECORDED: &[u8] = include_bytes!("fixtures/cordons.json");
+/// Name of the cordons file. It contains the configured address for clients.
+const CORDONS_FILE: &str = "sedgestack-cordons-127.0.0.1-0.json";
+/// Cordons file of a release with two cordoned backends, one of which is no longer in the endpoint list.
+const RECORDED_CORDONS: &[u8] = include_bytes!("fixtures/cordons.json");
 
-/// Calls as an operator makes them: method, path and body.
+/// Method, path and body of the calls.
 const CALLS: [(&str, &str, &str); 24] = [
     ("GET", "/admin/health", ""),
     ("GET", "/admin/stats", ""),
@@ -36,28 +36,28 @@
 ];
 
 #[test]
-fn calls_are_answered_as_recorded() {
-    let folder = Folder::new();
-    let daemon = Daemon::start(&folder, &configuration(), "");
+fn admin_calls_are_answered_as_recorded() {
+    let directory = TestDirectory::new();
+    let daemon = Daemon::start(&directory, &configuration(), "");
     let answers = CALLS.map(|(method, path, body)| {
-        let answer = daemon.call(method, path, body);
-        let ends = if answer.body.is_empty() { "(no body)\n" } else { "" };
-        format!("{method} {path} {body}\n{} {} {}{ends}", answer.status, answer.content_type, answer.body)
+        let answer = daemon.call_admin(method, path, body);
+        let end = if answer.body.is_empty() { "(no body)\n" } else { "" };
+        format!("{method} {path} {body}\n{} {} {}{end}", answer.status, answer.content_type, answer.body)
     });
-    assert_as_recorded("admin.txt", &answers.concat());
+    assert_matches_recording("admin.txt", &answers.concat());
 }
 
 #[test]
-fn a_recorded_file_of_cordons_is_read_and_written_again_to_the_byte() {
-    let folder = Folder::new();
-    let file = folder.write(CORDONS, RECORDED);
-    let daemon = Daemon::start(&folder, &configuration(), "");
-    let out = || daemon.json("GET", "/admin/stats", "")["members_unavailable"].clone();
-    assert_eq!(out(), 1);
-    daemon.json("PUT", "/admin/uncordon?name=s-1", "");
-    assert_eq!(out(), 0);
-    let text = std::fs::read_to_string(&file).expect("it is kept");
+fn recorded_cordons_file_is_read_and_rewritten_byte_for_byte() {
+    let directory = TestDirectory::new();
+    let file = directory.write(CORDONS_FILE, RECORDED_CORDONS);
+    let daemon = Daemon::start(&directory, &configuration(), "");
+    let unavailable = || daemon.call_admin_json("GET", "/admin/stats", "")["members_unavailable"].clone();
+    assert_eq!(unavailable(), 1);
+    daemon.call_admin_json("PUT", "/admin/uncordon?name=s-1", "");
+    assert_eq!(unavailable(), 0);
+    let text = std::fs::read_to_string(&file).expect("the file exists");
     assert_eq!(text, "{\"cordoned\":[\"room a/\\\"s-2\\\"\"]}");
-    daemon.json("PUT", "/admin/cordon?name=s-1", "");
-    assert_eq!(std::fs::read(&file).expect("it is kept"), RECORDED);
+    daemon.call_admin_json("PUT", "/admin/cordon?name=s-1", "");
+    assert_eq!(std::fs::read(&file).expect("the file exists"), RECORDED_CORDONS);
 }
--- a/tests/compatibility/daemon.rs
+++ b/tests/compatibility/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process, its log and its operators' address.
+//! Runs the daemon, reads its log and sends it admin calls.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,169 +11,171 @@
 
 use serde_json::{json, Value};
 
-/// A daemon that says nothing for this long has failed.
-const HUNG: Duration = Duration::from_secs(60);
+/// Time without output after which a daemon counts as hung, and the test fails.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A folder of a test's own; it goes with the value.
-pub struct Folder(PathBuf);
+/// A directory for one test. Dropping the value deletes the directory.
+pub struct TestDirectory(PathBuf);
 
-impl Folder {
-    pub fn new() -> Folder {
+impl TestDirectory {
+    pub fn new() -> TestDirectory {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!("compatibility-{}-{}", std::process::id(), NEXT.fetch_add(1, Relaxed));
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::create_dir(&path).expect("the target folder can be written");
-        Folder(path)
+        std::fs::create_dir(&path).expect("the target directory can be written");
+        TestDirectory(path)
     }
 
     pub fn path(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
 
-    /// Writes a file; its path.
+    /// Writes a file and returns its path.
     pub fn write(&self, name: &str, content: impl AsRef<[u8]>) -> PathBuf {
         let path = self.path(name);
-        std::fs::write(&path, content).expect("the folder can be written");
+        std::fs::write(&path, content).expect("the test directory can be written");
         path
     }
 
-    /// A text without what differs from run to run: the folder's path, and the digits of numbers.
-    pub fn steady(&self, text: &str) -> String {
+    /// Replaces what differs between runs: the directory's path, and the digits of numbers.
+    pub fn normalize(&self, text: &str) -> String {
         let text = text.replace(&self.0.display().to_string(), "FOLDER");
-        let mut steady = String::new();
+        let mut normalized = String::new();
         for character in text.chars() {
             let digit = character.is_ascii_digit();
-            if !(digit && steady.ends_with('#')) {
-                steady.push(if digit { '#' } else { character });
+            if !(digit && normalized.ends_with('#')) {
+                normalized.push(if digit { '#' } else { character });
             }
         }
-        steady
+        normalized
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// The configuration of `tests/limiter/start.json`, with an operators' address.
+/// Returns the configuration of `tests/limiter/start.json`, with an address for admin calls.
 pub fn configuration() -> Value {
     let text = include_str!("../limiter/start.json");
-    let mut configuration: Value = serde_json::from_str(text).expect("it is JSON");
+    let mut configuration: Value = serde_json::from_str(text).expect("valid JSON");
     configuration["ops"] = json!("127.0.0.1:0");
     configuration
 }
 
-/// The program without the environment of whoever runs the tests; its temporary files go to the folder.
-pub fn command(folder: &Folder) -> Command {
+/// Returns a command for the program, without the limiter's variables of the surrounding environment. Its temporary
+/// files go to the test directory.
+pub fn command(directory: &TestDirectory) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_sedgestack"));
     for name in ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_OPS", "LB_DISCOVERY"] {
         command.env_remove(name);
     }
-    command.env("TMPDIR", &folder.0).stdin(Stdio::null());
+    command.env("TMPDIR", &directory.0).stdin(Stdio::null());
     command
 }
 
-/// An answer of the operators' address.
+/// Answer to an admin call.
 pub struct Answer {
     pub status: u16,
     pub content_type: String,
     pub body: String,
 }
 
-/// A daemon that runs.
+/// A running daemon.
 pub struct Daemon {
     child: Child,
     log: Receiver<String>,
-    /// Lines of the log so far.
+    /// Lines of the log that have been read.
     lines: Vec<String>,
-    operators: SocketAddr,
+    admin_address: SocketAddr,
 }
 
 impl Daemon {
-    /// Starts the daemon on a configuration and settings in HCL, and waits until it listens.
-    pub fn start(folder: &Folder, configuration: &Value, settings: &str) -> Daemon {
-        let configuration = folder.write("config.json", configuration.to_string());
-        let settings = folder.write("settings.hcl", settings);
-        let mut command = command(folder);
+    /// Starts the daemon with a configuration and HCL settings, and waits until it listens.
+    pub fn start(directory: &TestDirectory, configuration: &Value, settings: &str) -> Daemon {
+        let configuration = directory.write("config.json", configuration.to_string());
+        let settings = directory.write("settings.hcl", settings);
+        let mut command = command(directory);
         command.env("LB_CONFIG", configuration).arg("--settings").arg(settings).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
-        let log = follow(child.stderr.take().expect("it is piped"));
-        let operators = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut daemon = Daemon { child, log, lines: Vec::new(), operators };
-        daemon.operators = daemon.listening("ops");
-        daemon.listening("front");
+        let log = read_lines(child.stderr.take().expect("stderr is piped"));
+        let admin_address = SocketAddr::from(([127, 0, 0, 1], 0));
+        let mut daemon = Daemon { child, log, lines: Vec::new(), admin_address };
+        daemon.admin_address = daemon.wait_for_listener("ops");
+        daemon.wait_for_listener("front");
         daemon
     }
 
-    fn listening(&mut self, part: &str) -> SocketAddr {
-        let line = self.until(&format!("{part}: listening on "));
-        let (_, address) = line.rsplit_once(' ').expect("an address ends the line");
+    /// Waits until a part of the daemon listens, and returns its address.
+    fn wait_for_listener(&mut self, part: &str) -> SocketAddr {
+        let line = self.wait_for_line(&format!("{part}: listening on "));
+        let (_, address) = line.rsplit_once(' ').expect("the line ends with an address");
         let end = address.find('"').unwrap_or(address.len());
         address[..end].parse().expect("an address")
     }
 
-    /// Waits for a line of the log that holds `mark`; the line.
-    pub fn until(&mut self, mark: &str) -> String {
+    /// Waits for a line of the log that contains `text`, and returns the line.
+    pub fn wait_for_line(&mut self, text: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(HUNG);
-            let line = line.unwrap_or_else(|e| panic!("{e}, no '{mark}' in: {:#?}", self.lines));
+            let line = self.log.recv_timeout(HANG_TIMEOUT);
+            let line = line.unwrap_or_else(|e| panic!("{e}, no '{text}' in: {:#?}", self.lines));
             self.lines.push(line.clone());
-            if line.contains(mark) {
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Waits until each of `marks` has stood in a line of the log, in any order.
-    pub fn until_all(&mut self, marks: &[&str]) {
+    /// Waits until the log has a line for each of `texts`, in any order.
+    pub fn wait_for_lines(&mut self, texts: &[&str]) {
         let missing = |lines: &[String]| {
-            marks.iter().copied().find(|mark| !lines.iter().any(|line| line.contains(mark)))
+            texts.iter().copied().find(|text| !lines.iter().any(|line| line.contains(text)))
         };
-        while let Some(mark) = missing(&self.lines) {
-            self.until(mark);
+        while let Some(text) = missing(&self.lines) {
+            self.wait_for_line(text);
         }
     }
 
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
-        assert!(sent.expect("kill is there").success());
+        let status = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
+        assert!(status.expect("kill can be started").success());
     }
 
-    /// Ends the daemon in order; all lines of its log.
-    pub fn end(mut self) -> Vec<String> {
+    /// Stops the daemon gracefully, and returns all lines of its log.
+    pub fn stop(mut self) -> Vec<String> {
         self.signal("TERM");
         let mut lines = std::mem::take(&mut self.lines);
         lines.extend(self.log.iter());
-        assert!(self.child.wait().expect("it ends").success(), "{lines:#?}");
+        assert!(self.child.wait().expect("the daemon ends").success(), "{lines:#?}");
         lines
     }
 
-    /// One call at the operators' address, on a connection of its own.
-    pub fn call(&self, method: &str, path: &str, body: &str) -> Answer {
-        let mut stream = TcpStream::connect(self.operators).expect("it accepts");
-        stream.set_read_timeout(Some(HUNG)).expect("a time-out is set");
+    /// Sends an admin call on its own connection and returns the answer.
+    pub fn call_admin(&self, method: &str, path: &str, body: &str) -> Answer {
+        let mut stream = TcpStream::connect(self.admin_address).expect("the daemon accepts");
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("the timeout can be set");
         let length = match body.len() {
             0 => String::new(),
             length => format!("Content-Length: {length}\r\n"),
         };
-        // In one write: the daemon may close without reading a body.
+        // The call is one write, because the daemon may close the connection without reading the body.
         let call = format!("{method} {path} HTTP/1.1\r\nHost: limiter\r\n{length}\r\n{body}");
-        stream.write_all(call.as_bytes()).expect("it reads");
+        stream.write_all(call.as_bytes()).expect("the daemon reads");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("it answers and closes");
-        let (head, body) = answer.split_once("\r\n\r\n").expect("a head ends");
+        stream.read_to_string(&mut answer).expect("the daemon answers and closes the connection");
+        let (head, body) = answer.split_once("\r\n\r\n").expect("a complete head");
         let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
         let content_type = head.lines().find_map(|line| line.strip_prefix("content-type: "));
         Answer { status, content_type: content_type.unwrap_or("none").into(), body: body.into() }
     }
 
-    /// As [`Daemon::call`], for what answers 200 with JSON.
-    pub fn json(&self, method: &str, path: &str, body: &str) -> Value {
-        let answer = self.call(method, path, body);
+    /// Like [`Daemon::call_admin`], for calls that answer with status 200 and JSON.
+    pub fn call_admin_json(&self, method: &str, path: &str, body: &str) -> Value {
+        let answer = self.call_admin(method, path, body);
         assert_eq!(answer.status, 200, "{method} {path}: {}", answer.body);
-        serde_json::from_str(&answer.body).expect("it is JSON")
+        serde_json::from_str(&answer.body).expect("valid JSON")
     }
 }
 
@@ -184,8 +186,8 @@
     }
 }
 
-/// Lines as they come, read on a thread so that waiting for one can end.
-fn follow(log: impl Read + Send + 'static) -> Receiver<String> {
+/// Reads lines on a thread, so that waiting for one can time out.
+fn read_lines(log: impl Read + Send + 'static) -> Receiver<String> {
     let (send, lines) = channel();
     thread::spawn(move || {
         for line in BufReader::new(log).lines().map_while(Result::ok) {
@@ -197,8 +199,8 @@
     lines
 }
 
-/// Holds a text to a recorded one, line for line.
-pub fn assert_as_recorded(name: &str, found: &str) {
+/// Asserts that a text is equal to a recorded one. A failure shows the first line that differs.
+pub fn assert_matches_recording(name: &str, found: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/compatibility/fixtures").join(name);
     let recorded = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     for (found, recorded) in found.lines().zip(recorded.lines()) {
@@ -207,9 +209,10 @@
     assert_eq!(found, recorded, "{name}");
 }
 
-/// The distinct lines in order: how often one comes, and in which order parts of the daemon speak, may differ.
-pub fn distinct(folder: &Folder, lines: &[String]) -> String {
+/// Returns the distinct lines in sorted order, normalized. How often a line is logged, and the order in which parts of
+/// the daemon log, differ between runs.
+pub fn distinct_lines(directory: &TestDirectory, lines: &[String]) -> String {
     let distinct: std::collections::BTreeSet<String> =
-        lines.iter().map(|line| folder.steady(line) + "\n").collect();
+        lines.iter().map(|line| directory.normalize(line) + "\n").collect();
     distinct.into_iter().collect()
 }
--- a/tests/compatibility/log.rs
+++ b/tests/compatibility/log.rs
@@ -1,44 +1,44 @@
-//! Lines of the log and of the counters, as operators and tools parse them.
+//! Lines of the log and the counters, which operators and tools parse.
 
-use super::daemon::{assert_as_recorded, configuration, distinct, Daemon, Folder};
+use super::daemon::{assert_matches_recording, configuration, distinct_lines, Daemon, TestDirectory};
 
-/// The name of the file of cordons follows the clients' address, as it is configured.
-const CORDONS: &str = "sedgestack-cordons-127.0.0.1-0.json";
+/// Name of the cordons file. It contains the configured address for clients.
+const CORDONS_FILE: &str = "sedgestack-cordons-127.0.0.1-0.json";
 
-/// A daemon's life with what it has to tell: a file of cordons that can't be read, a capture, reloads, counters.
-fn log_of_a_life(folder: &Folder, format: &str) -> Vec<String> {
-    folder.write(CORDONS, "{\"cordoned\": [");
-    let capture = folder.path("{name}-{started}.sedgecap");
+/// Runs a daemon with an unreadable cordons file, a capture, reloads and a request for its counters. Returns its log.
+fn log_of_a_run(directory: &TestDirectory, format: &str) -> Vec<String> {
+    directory.write(CORDONS_FILE, "{\"cordoned\": [");
+    let capture = directory.path("{name}-{started}.sedgecap");
     let settings = format!(
         "log {{\n  format = \"{format}\"\n}}\ncapture {{\n  file = \"{}\"\n  key  = \"{:032x}\"\n}}\n",
         capture.display(),
         1
     );
-    let mut daemon = Daemon::start(folder, &configuration(), &settings);
-    daemon.until_all(&["the set stays as it was", "list: watch from version"]);
-    folder.write("config.json", "{");
+    let mut daemon = Daemon::start(directory, &configuration(), &settings);
+    daemon.wait_for_lines(&["the set stays as it was", "list: watch from version"]);
+    directory.write("config.json", "{");
     daemon.signal("HUP");
-    daemon.until("reload refused");
+    daemon.wait_for_line("reload refused");
     let mut moved = configuration();
     moved["discovery"] = "127.0.0.1:2".into();
-    folder.write("config.json", moved.to_string());
+    directory.write("config.json", moved.to_string());
     daemon.signal("HUP");
-    daemon.until_all(&["reload: discovery", "list: discovery moves", "list: watch from version 0"]);
+    daemon.wait_for_lines(&["reload: discovery", "list: discovery moves", "list: watch from version 0"]);
     daemon.signal("USR1");
-    daemon.until("counters");
-    daemon.end()
+    daemon.wait_for_line("counters");
+    daemon.stop()
 }
 
 #[test]
-fn lines_of_the_text_log_are_as_recorded() {
-    let folder = Folder::new();
-    let lines = log_of_a_life(&folder, "text");
-    assert_as_recorded("log-text.txt", &distinct(&folder, &lines));
+fn text_log_is_as_recorded() {
+    let directory = TestDirectory::new();
+    let lines = log_of_a_run(&directory, "text");
+    assert_matches_recording("log-text.txt", &distinct_lines(&directory, &lines));
 }
 
 #[test]
-fn lines_of_the_json_log_are_as_recorded() {
-    let folder = Folder::new();
-    let lines = log_of_a_life(&folder, "json");
-    assert_as_recorded("log-json.txt", &distinct(&folder, &lines));
+fn json_log_is_as_recorded() {
+    let directory = TestDirectory::new();
+    let lines = log_of_a_run(&directory, "json");
+    assert_matches_recording("log-json.txt", &distinct_lines(&directory, &lines));
 }
--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -1,6 +1,7 @@
-//! What operators, tools and other processes read of the daemon, held to what earlier releases wrote.
+//! Compatibility of the daemon's output and files with earlier releases: what operators, tools and other processes
+//! read.
 //!
-//! The fixtures beside this file were written by a release; a change of any of them is a change of an interface.
+//! The fixtures were recorded from a release. Changing one means changing an interface.
 
 mod admin;
 mod command_line;
--- a/tests/compatibility/tier.rs
+++ b/tests/compatibility/tier.rs
@@ -1,122 +1,127 @@
-//! Versions of the rules: the store that outlives a process, the calls that change them, and the lines that tell.
+//! Versions of the runtime configuration: the store, the admin calls that change versions, and the log lines.
 
 use std::path::Path;
 
 use sedgestack_store::Store;
 use serde_json::{json, Value};
 
-use super::daemon::{assert_as_recorded, configuration, distinct, Daemon, Folder};
+use super::daemon::{assert_matches_recording, configuration, distinct_lines, Daemon, TestDirectory};
 
-/// The store of a limiter that stood alone, after a change of its rules and a pin; zstd-compressed.
-const STORE: &[u8] = include_bytes!("fixtures/tier.redb.zst");
-/// What that store holds: JSON that the process of an upgrade reads.
-const KEPT: &str = include_str!("fixtures/tier-kept.json");
-/// Room for the store unpacked, bytes.
-const LONGEST_STORE: usize = 16 << 20;
-/// Values that differ from run to run.
-const TIMES: [&str; 3] = ["at", "at_us", "known_for_ms"];
-/// Of them, what differs where the versions are recorded ones.
-const TIME_LEFT: [&str; 1] = ["known_for_ms"];
-/// A version made for version 0.
+/// Store of a single limiter after a change and a pin, compressed with zstd.
+const RECORDED_STORE: &[u8] = include_bytes!("fixtures/tier.redb.zst");
+/// Value in that store: JSON that the new process of an upgrade reads.
+const RECORDED_VALUE: &str = include_str!("fixtures/tier-kept.json");
+/// Maximum size of the decompressed store, in bytes.
+const MAX_STORE_SIZE: usize = 16 << 20;
+/// Keys whose values differ between runs.
+const TIME_KEYS: [&str; 3] = ["at", "at_us", "known_for_ms"];
+/// Keys whose values differ between runs that start with the recorded store.
+const TIME_KEYS_WITH_RECORDED_STORE: [&str; 1] = ["known_for_ms"];
+/// A document whose parent is version 0.
 const CHANGE: &str = include_str!("fixtures/change.hcl");
 
-/// A limiter that stands alone and keeps its versions in `tier.redb`.
-fn start(folder: &Folder) -> Daemon {
-    let mut alone = configuration();
-    alone["settings"]["caps"]["peerMessages"] = json!(true);
-    alone["peer_listen"] = json!("127.0.0.1:0");
+/// Starts a single limiter that stores its versions in `tier.redb`.
+fn start(directory: &TestDirectory) -> Daemon {
+    let mut config = configuration();
+    config["settings"]["caps"]["peerMessages"] = json!(true);
+    config["peer_listen"] = json!("127.0.0.1:0");
     let settings = format!(
         "log {{\n  format = \"json\"\n}}\ntier {{\n  store = \"{}\"\n  round = \"50ms\"\n  lease = \"200ms\"\n  \
          skew = \"100ms\"\n  lead = \"700ms\"\n}}\n",
-        folder.path("tier.redb").display()
+        directory.path("tier.redb").display()
     );
-    let mut daemon = Daemon::start(folder, &alone, &settings);
-    daemon.until("tier: stands Current");
+    let mut daemon = Daemon::start(directory, &config, &settings);
+    daemon.wait_for_line("tier: stands Current");
     daemon
 }
 
-/// An answer as indented JSON, without the values that differ from run to run.
-fn worded(mut answer: Value, times: &[&str]) -> String {
-    without_times(&mut answer, times);
+/// Formats an answer as indented JSON, without the values of `time_keys`.
+fn format_answer(mut answer: Value, time_keys: &[&str]) -> String {
+    replace_times(&mut answer, time_keys);
     serde_json::to_string_pretty(&answer).expect("JSON can be written") + "\n"
 }
 
-fn without_times(value: &mut Value, times: &[&str]) {
+/// Replaces the numbers of `time_keys`.
+fn replace_times(value: &mut Value, time_keys: &[&str]) {
     match value {
         Value::Object(entries) => {
             for (key, value) in entries.iter_mut() {
-                if times.contains(&key.as_str()) && value.is_u64() {
+                if time_keys.contains(&key.as_str()) && value.is_u64() {
                     *value = json!("NUMBER");
                 }
-                without_times(value, times);
+                replace_times(value, time_keys);
             }
         }
-        Value::Array(values) => values.iter_mut().for_each(|value| without_times(value, times)),
+        Value::Array(values) => values.iter_mut().for_each(|value| replace_times(value, time_keys)),
         _ => {}
     }
 }
 
-/// Calls and their answers.
+/// A daemon, and a transcript of the admin calls to it.
 struct Session {
     daemon: Daemon,
     transcript: String,
 }
 
 impl Session {
-    fn ask(&mut self, method: &str, path: &str, body: &str) -> Value {
-        let answer = self.daemon.json(method, path, body);
-        self.transcript += &format!("{method} {path}\n{}", worded(answer.clone(), &TIMES));
+    /// Sends a call that succeeds, and returns its answer.
+    fn call(&mut self, method: &str, path: &str, body: &str) -> Value {
+        let answer = self.daemon.call_admin_json(method, path, body);
+        self.transcript += &format!("{method} {path}\n{}", format_answer(answer.clone(), &TIME_KEYS));
         answer
     }
 
-    fn refused(&mut self, method: &str, path: &str) {
-        let answer = self.daemon.call(method, path, "");
+    /// Sends a call that is refused.
+    fn call_refused(&mut self, method: &str, path: &str) {
+        let answer = self.daemon.call_admin(method, path, "");
         self.transcript += &format!("{method} {path}\n{} {}", answer.status, answer.body);
     }
 }
 
-fn stored(path: &Path) -> String {
-    let opened = Store::open(path).expect("the daemon has let it go");
+/// Returns the value in a store.
+fn read_store(path: &Path) -> String {
+    let opened = Store::open(path).expect("the daemon has closed the store");
     assert_eq!(opened.quarantined, None);
-    String::from_utf8(opened.value.expect("it was saved")).expect("it is text")
+    String::from_utf8(opened.value.expect("the store has a value")).expect("the value is UTF-8")
 }
 
 #[test]
-fn a_change_and_a_pin_are_answered_and_told_as_recorded() {
-    let folder = Folder::new();
-    let mut session = Session { daemon: start(&folder), transcript: String::new() };
-    session.ask("GET", "/admin/rules", "");
-    let staged = session.ask("PUT", "/admin/rules/stage", CHANGE);
+fn answers_and_log_of_a_change_and_a_pin_are_as_recorded() {
+    let directory = TestDirectory::new();
+    let mut session = Session { daemon: start(&directory), transcript: String::new() };
+    session.call("GET", "/admin/rules", "");
+    let staged = session.call("PUT", "/admin/rules/stage", CHANGE);
     let digest = staged["digest"].as_str().expect("a digest");
-    session.ask("PUT", &format!("/admin/rules/commit?digest={digest}"), "");
-    session.daemon.until("tier: version 1 is in force");
-    session.ask("GET", "/admin/rules", "");
-    session.ask("PUT", "/admin/rules/pin", "");
-    session.daemon.until("tier: version 2 is in force");
-    session.ask("GET", "/admin/rules", "");
-    session.ask("GET", "/admin/stats", "");
-    session.refused("PUT", "/admin/rules/undo");
+    session.call("PUT", &format!("/admin/rules/commit?digest={digest}"), "");
+    session.daemon.wait_for_line("tier: version 1 is in force");
+    session.call("GET", "/admin/rules", "");
+    session.call("PUT", "/admin/rules/pin", "");
+    session.daemon.wait_for_line("tier: version 2 is in force");
+    session.call("GET", "/admin/rules", "");
+    session.call("GET", "/admin/stats", "");
+    session.call_refused("PUT", "/admin/rules/undo");
     let Session { daemon, transcript } = session;
-    assert_as_recorded("rules.txt", &transcript);
-    // The other parts' lines name a version from when the first is known on, which is at no fixed moment.
-    let lines: Vec<String> = daemon.end().into_iter().filter(|line| line.contains("tier:")).collect();
-    assert_as_recorded("log-tier.txt", &distinct(&folder, &lines));
-    let kept: Value = serde_json::from_str(&stored(&folder.path("tier.redb"))).expect("it is JSON");
-    assert_eq!(kept["history"].as_array().map(Vec::len), Some(2), "{kept}");
+    assert_matches_recording("rules.txt", &transcript);
+    // Other lines are left out: they include a version from the time at which the first one is known, which varies.
+    let lines: Vec<String> = daemon.stop().into_iter().filter(|line| line.contains("tier:")).collect();
+    assert_matches_recording("log-tier.txt", &distinct_lines(&directory, &lines));
+    let stored: Value = serde_json::from_str(&read_store(&directory.path("tier.redb"))).expect("valid JSON");
+    assert_eq!(stored["history"].as_array().map(Vec::len), Some(2), "{stored}");
 }
 
 #[test]
-fn a_recorded_store_is_taken_up_and_written_again_to_the_byte() {
-    let folder = Folder::new();
-    let store = zstd::bulk::decompress(STORE, LONGEST_STORE).expect("the fixture is whole");
-    let path = folder.write("tier.redb", store);
-    assert_eq!(stored(&path), KEPT);
-    let daemon = start(&folder);
-    let status = daemon.json("GET", "/admin/rules", "");
-    assert_as_recorded("rules-taken-up.json", &worded(status, &TIME_LEFT));
-    let lines = daemon.end();
-    let counters = lines.last().expect("the counters end the log");
+fn recorded_store_is_read_and_rewritten_byte_for_byte() {
+    let directory = TestDirectory::new();
+    let store =
+        zstd::bulk::decompress(RECORDED_STORE, MAX_STORE_SIZE).expect("the fixture can be decompressed");
+    let path = directory.write("tier.redb", store);
+    assert_eq!(read_store(&path), RECORDED_VALUE);
+    let daemon = start(&directory);
+    let status = daemon.call_admin_json("GET", "/admin/rules", "");
+    assert_matches_recording("rules-taken-up.json", &format_answer(status, &TIME_KEYS_WITH_RECORDED_STORE));
+    let lines = daemon.stop();
+    let counters = lines.last().expect("the log ends with the counters");
     assert!(counters.contains("\"tier_set_aside\":0,"), "{counters}");
-    assert!(!counters.contains("\"tier_saved\":0,"), "it was written again: {counters}");
-    assert_eq!(stored(&path), KEPT);
+    assert!(!counters.contains("\"tier_saved\":0,"), "the store was not rewritten: {counters}");
+    assert_eq!(read_store(&path), RECORDED_VALUE);
 }
--- a/tests/fleet_rules/main.rs
+++ b/tests/fleet_rules/main.rs
@@ -1,8 +1,8 @@
-//! A change of the runtime configuration becomes active at every limiter or at none: tiers of real processes with faults
-//! between them.
+//! A change of the runtime configuration becomes active at every limiter or at none. The tests run tiers of real
+//! processes and inject faults.
 //!
-//! Cases wait for what must come, check what was recorded, and trigger faults by events, so that the machine's speed
-//! decides nothing.
+//! The tests wait for expected states, check recorded answers, and trigger faults by events, so that the result does
+//! not depend on the speed of the machine.
 
 mod canary;
 mod crashes;
--- a/tests/fleet_rules/network.rs
+++ b/tests/fleet_rules/network.rs
@@ -1,4 +1,4 @@
-//! Changes across partitions, one-way cuts, an unreliable network and lost services.
+//! Changes during partitions, one-way link failures, packet loss and service failures.
 
 use std::time::Duration;
 
@@ -8,35 +8,35 @@
 use super::harness::*;
 
 #[test]
-fn a_minority_that_holds_the_operator_changes_nothing() {
-    let tier = tier(5);
+fn operator_at_a_minority_can_not_change_the_version() {
+    let tier = start_tier(5);
     tier.links().partition(&[&[0, 1], &[2, 3, 4]]);
-    // It may begin a change in the first moments; it can't be decided.
+    // The limiter may accept a change just after the partition, but the change can't be decided.
     let _ = tier.begin_change(0, &next_document(&tier, 0, 6.5), "");
-    tier.expect_eventually("they know that they are cut off", || {
+    tier.expect_eventually("the minority is detached", || {
         [0, 1].iter().all(|m| tier.status(*m).is_some_and(|s| s["standing"] == "detached"))
     });
     assert!(matches!(
         tier.begin_change(1, &next_document(&tier, 1, 6.4), ""),
         Err(ChangeError::Rejected { status: 409, .. })
     ));
-    tier.expect_eventually("a cut off one refuses", || {
+    tier.expect_eventually("a detached limiter rejects", || {
         tier.send_request(0).is_some_and(|s| s.status == 429 && s.version.is_none())
     });
-    let made = begin(&tier, 2, 6.0, "");
+    let made = begin_rate_change(&tier, 2, 6.0, "");
     expect_version(&tier, &[2, 3, 4], made);
     tier.links().restore();
     expect_version(&tier, &[0, 1], made);
     expect_consistent(&tier);
-    let digest = |m: u32| tier.status(m).expect("it answers")["digest"].clone();
+    let digest = |m: u32| tier.status(m).expect("the limiter answers")["digest"].clone();
     assert_eq!(digest(0), digest(3));
 }
 
 #[test]
-fn cut_in_three_no_part_decides_and_mended_all_do() {
-    let tier = tier(5);
+fn no_change_is_decided_without_a_majority() {
+    let tier = start_tier(5);
     tier.links().partition(&[&[0, 1], &[2, 3], &[4]]);
-    tier.expect_eventually("nobody is in touch", || tier.all_limiters(|s| s["standing"] == "detached"));
+    tier.expect_eventually("all are detached", || tier.all_limiters(|s| s["standing"] == "detached"));
     for limiter in [0, 2, 4] {
         assert!(matches!(
             tier.begin_change(limiter, &next_document(&tier, limiter, 6.5), ""),
@@ -44,23 +44,23 @@
         ));
     }
     tier.links().restore();
-    let made = begin(&tier, 4, 6.5, "");
+    let made = begin_rate_change(&tier, 4, 6.5, "");
     expect_version(&tier, &[0, 1, 2, 3, 4], made);
     expect_consistent(&tier);
 }
 
 #[test]
-fn a_ring_of_one_way_cuts_holds_up_nothing() {
-    let tier = tier(5);
+fn change_succeeds_despite_a_ring_of_one_way_link_failures() {
+    let tier = start_tier(5);
     (0..5).for_each(|m| tier.links().cut(m, (m + 1) % 5));
-    let made = begin(&tier, 0, 6.5, "");
+    let made = begin_rate_change(&tier, 0, 6.5, "");
     expect_version(&tier, &[0, 1, 2, 3, 4], made);
     expect_consistent(&tier);
 }
 
 #[test]
-fn a_lossy_late_doubled_and_damaged_network_mixes_nothing() {
-    let tier = tier_of(5, |o| o.clock_offsets_ms = vec![40, -40, 0, 30, -30]);
+fn versions_stay_consistent_on_an_unreliable_network() {
+    let tier = start_tier_with(5, |o| o.clock_offsets_ms = vec![40, -40, 0, 30, -30]);
     tier.adopt();
     tier.start_load();
     tier.links().set_conditions(NetworkConditions {
@@ -70,14 +70,14 @@
         max_delay: Duration::from_millis(300),
     });
     for (limiter, rate) in [(0, 6.5), (3, 6.0), (4, 5.5)] {
-        // Loss makes a change void at times: its operator is told, and it is begun again.
-        let told = || tier.status(limiter).expect("it answers")["begun_here"]["outcome"].clone();
-        tier.expect_eventually("a change that is made", || {
-            begin(&tier, limiter, rate, "");
-            tier.expect_eventually("its outcome", || told() != "open");
-            told() == "made"
+        // Packet loss can make a change void. The limiter reports that, and the change is begun again.
+        let outcome = || tier.status(limiter).expect("the limiter answers")["begun_here"]["outcome"].clone();
+        tier.expect_eventually("a change that succeeds", || {
+            begin_rate_change(&tier, limiter, rate, "");
+            tier.expect_eventually("the outcome of the change", || outcome() != "open");
+            outcome() == "made"
         });
-        tier.expect_eventually("in force", || {
+        tier.expect_eventually("the active version is the decided one", || {
             tier.status(limiter).is_some_and(|s| s["version"] == s["decided"])
         });
     }
@@ -87,11 +87,11 @@
     assert!(counts.lost * 10 > counts.received, "{counts:?}");
 }
 
-/// The links to counter and roster of two limiters stall without closing, or are cut: what limiters agree on goes
-/// between them alone.
+/// The links of limiters to the quota counter and to discovery stall or are cut. Consensus only needs the links between
+/// limiters.
 #[test]
-fn a_change_is_made_though_counter_and_roster_hang() {
-    let tier = tier(3);
+fn change_succeeds_without_quota_counter_and_discovery() {
+    let tier = start_tier(3);
     for (limiter, service, state) in [
         (0, Service::Counter, LinkState::Stalled),
         (0, Service::Discovery, LinkState::Stalled),
@@ -100,9 +100,9 @@
     ] {
         tier.links().set_service(limiter, service, state);
     }
-    let made = begin(&tier, 0, 6.5, "");
+    let made = begin_rate_change(&tier, 0, 6.5, "");
     expect_version(&tier, &[0, 1, 2], made);
-    tier.expect_eventually("all serve", || {
+    tier.expect_eventually("all limiters serve requests", || {
         (0..3).all(|m| tier.send_request(m).is_some_and(|s| s.version == Some(made)))
     });
     tier.links().restore();
--- a/tests/fleet_rules/operators.rs
+++ b/tests/fleet_rules/operators.rs
@@ -1,21 +1,21 @@
-//! What operators are answered: conflicting, stale, unconfirmed and invalid changes.
+//! Answers to operators for conflicting, outdated, unconfirmed and invalid changes.
 
 use sedgestack_rehearse::tier::{ChangeError, StoreState};
 
 use super::harness::*;
 
 #[test]
-fn of_two_operators_in_one_instant_one_is_told_that_he_lost() {
-    let tier = tier(3);
-    let (one, two) = (next_document(&tier, 0, 6.5), next_document(&tier, 2, 6.0));
+fn at_most_one_of_two_concurrent_changes_succeeds() {
+    let tier = start_tier(3);
+    let (first_document, second_document) = (next_document(&tier, 0, 6.5), next_document(&tier, 2, 6.0));
     let (a, b) = std::thread::scope(|s| {
-        let a = s.spawn(|| tier.begin_change(0, &one, ""));
-        let b = s.spawn(|| tier.begin_change(2, &two, ""));
-        (a.join().expect("it ends"), b.join().expect("it ends"))
+        let a = s.spawn(|| tier.begin_change(0, &first_document, ""));
+        let b = s.spawn(|| tier.begin_change(2, &second_document, ""));
+        (a.join().expect("the thread does not panic"), b.join().expect("the thread does not panic"))
     });
     assert!(a.is_ok() || b.is_ok(), "{a:?} {b:?}");
-    let outcome = |m: u32| tier.status(m).expect("it answers")["begun_here"]["outcome"].clone();
-    tier.expect_eventually("both are told", || {
+    let outcome = |m: u32| tier.status(m).expect("the limiter answers")["begun_here"]["outcome"].clone();
+    tier.expect_eventually("the outcome of both changes", || {
         (a.is_err() || outcome(0) != "open") && (b.is_err() || outcome(2) != "open")
     });
     let made = [(&a, 0), (&b, 2)].iter().filter(|(begun, m)| begun.is_ok() && outcome(*m) == "made").count();
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn a_commit_whose_parent_is_no_longer_in_force_is_refused() {
-    let tier = tier(3);
-    let old = next_document(&tier, 1, 6.5);
-    let made = begin(&tier, 0, 6.0, "");
+fn change_with_an_outdated_parent_is_rejected() {
+    let tier = start_tier(3);
+    let outdated = next_document(&tier, 1, 6.5);
+    let made = begin_rate_change(&tier, 0, 6.0, "");
     expect_version(&tier, &[0, 1, 2], made);
-    match tier.begin_change(1, &old, "") {
-        Err(ChangeError::Rejected { status: 409, body: why }) => {
-            assert!(why.starts_with("it was made for version 0, and version 1 is in force"), "{why}");
+    match tier.begin_change(1, &outdated, "") {
+        Err(ChangeError::Rejected { status: 409, body: message }) => {
+            assert!(message.starts_with("it was made for version 0, and version 1 is in force"), "{message}");
         }
         other => panic!("{other:?}"),
     }
@@ -39,57 +39,57 @@
 }
 
 #[test]
-fn a_change_for_all_is_given_up_where_one_is_silent_and_names_it() {
-    let tier = tier(3);
+fn change_for_all_limiters_is_void_if_one_does_not_answer() {
+    let tier = start_tier(3);
     tier.kill(2);
-    begin(&tier, 0, 6.5, "&scope=all");
-    let told = || tier.status(0).expect("it answers")["begun_here"].clone();
-    tier.expect_eventually("the end of the lead", || told()["outcome"] != "open");
-    assert_eq!((told()["outcome"].as_str(), told()["unanswered"][0].as_u64()), (Some("void"), Some(2)));
-    tier.expect_eventually("it is over", || tier.all_limiters(|s| s["standing"] == "current"));
-    // Known to be gone, it is left out.
-    let made = begin(&tier, 0, 6.5, "&scope=all&except=2");
+    begin_rate_change(&tier, 0, 6.5, "&scope=all");
+    let change = || tier.status(0).expect("the limiter answers")["begun_here"].clone();
+    tier.expect_eventually("the outcome of the change", || change()["outcome"] != "open");
+    assert_eq!((change()["outcome"].as_str(), change()["unanswered"][0].as_u64()), (Some("void"), Some(2)));
+    tier.expect_eventually("all limiters are current", || tier.all_limiters(|s| s["standing"] == "current"));
+    // The change succeeds when the operator excludes limiter 2.
+    let made = begin_rate_change(&tier, 0, 6.5, "&scope=all&except=2");
     expect_version(&tier, &[0, 1], made);
-    tier.expect_eventually("made", || told()["outcome"] == "made");
-    tier.restart(2, StoreState::Intact).expect("it comes up");
+    tier.expect_eventually("the change succeeds", || change()["outcome"] == "made");
+    tier.restart(2, StoreState::Intact).expect("the limiter starts");
     expect_version(&tier, &[2], made);
     expect_consistent(&tier);
 }
 
 #[test]
-fn a_reload_and_a_change_in_one_instant_disturb_neither() {
-    let tier = tier(3);
+fn concurrent_reload_and_change_both_succeed() {
+    let tier = start_tier(3);
     let document = next_document(&tier, 0, 6.5);
     let made = std::thread::scope(|s| {
         let change = s.spawn(|| tier.begin_change(0, &document, ""));
         (0..3).for_each(|m| tier.reload(m));
-        change.join().expect("it ends")
+        change.join().expect("the thread does not panic")
     });
-    let version = made.unwrap_or_else(|_| begin(&tier, 0, 6.5, ""));
+    let version = made.unwrap_or_else(|_| begin_rate_change(&tier, 0, 6.5, ""));
     expect_version(&tier, &[0, 1, 2], version);
-    (0..3).for_each(|m| assert!(tier.log(m).iter().any(|l| l.contains("reload:")), "n{m} read it again"));
+    (0..3).for_each(|m| assert!(tier.log(m).iter().any(|l| l.contains("reload:")), "n{m}: no reload"));
     expect_consistent(&tier);
 }
 
 #[test]
-fn what_is_no_change_is_refused_with_its_place_and_changes_nothing() {
-    let tier = tier(3);
-    let good = next_document(&tier, 0, 6.5);
+fn invalid_changes_are_rejected_with_their_position() {
+    let tier = start_tier(3);
+    let valid = next_document(&tier, 0, 6.5);
     let cases = [
-        (good.replace("rate  = 6.5", "rate  = 0.72"), 422, "\"faculdade\".rate: changes to a tenth"),
-        (good.replace("rate  = 6.5", "rate  = 6.5\n  speed = 2"), 400, "speed"),
-        (good.replace("parent = 0", "parent = 7"), 409, "made for version 7, and version 0 is in force"),
-        (good.clone() + "\naddresses {\n  counter = \"127.0.0.1:1\"\n}\n", 400, "addresses"),
-        (good.clone() + "\nplan \"gold\" {\n  rate  = 1\n  burst = 5\n}\n", 400, "plan \"gold\""),
-        (good.clone() + &"# and more\n".repeat(6_000), 413, "at most"),
+        (valid.replace("rate  = 6.5", "rate  = 0.72"), 422, "\"faculdade\".rate: changes to a tenth"),
+        (valid.replace("rate  = 6.5", "rate  = 6.5\n  speed = 2"), 400, "speed"),
+        (valid.replace("parent = 0", "parent = 7"), 409, "made for version 7, and version 0 is in force"),
+        (valid.clone() + "\naddresses {\n  counter = \"127.0.0.1:1\"\n}\n", 400, "addresses"),
+        (valid.clone() + "\nplan \"gold\" {\n  rate  = 1\n  burst = 5\n}\n", 400, "plan \"gold\""),
+        (valid.clone() + &"# and more\n".repeat(6_000), 413, "at most"),
         ("version {".into(), 400, "document:1"),
     ];
-    for (document, status, why) in cases {
+    for (document, status, expected) in cases {
         match tier.begin_change(0, &document, "") {
-            Err(ChangeError::Rejected { status: found, body: text }) if found == status => {
-                assert!(text.contains(why), "{text}");
+            Err(ChangeError::Rejected { status: found, body: message }) if found == status => {
+                assert!(message.contains(expected), "{message}");
             }
-            other => panic!("{why}: {other:?}"),
+            other => panic!("{expected}: {other:?}"),
         }
     }
     assert_eq!(tier.call(0, "PUT", "rules/commit?digest=abc", "").map(|response| response.status), Some(404));
--- a/tests/fleet_rules/upgrades.rs
+++ b/tests/fleet_rules/upgrades.rs
@@ -8,71 +8,72 @@
 use super::harness::*;
 
 #[test]
-fn a_commit_as_one_drains_and_a_process_takes_its_place() {
-    let tier = tier(3);
+fn change_during_a_drain_reaches_the_replacement() {
+    let tier = start_tier(3);
     assert_eq!(tier.call(2, "PUT", "quiesce", "").map(|response| response.status), Some(200));
-    let first = begin(&tier, 0, 6.5, "");
-    // A second process beside it would be a member with two minds: it does not come up, and the first one goes on.
-    assert_eq!(tier.start_second_process(2).expect("it is started"), Some(1));
+    let first = begin_rate_change(&tier, 0, 6.5, "");
+    // A second process with the same identity could vote differently. It must fail to start, and the first one keeps
+    // running.
+    assert_eq!(tier.start_second_process(2).expect("the process can be started"), Some(1));
     assert!(tier.log(2).iter().any(|l| l.contains("Address already in use")), "{:?}", tier.log(2));
-    tier.expect_eventually("it is decided", || tier.status(2).is_some_and(|s| s["decided"] == first));
+    tier.expect_eventually("the change is decided", || tier.status(2).is_some_and(|s| s["decided"] == first));
     tier.terminate(2);
-    tier.restart(2, StoreState::Intact).expect("it comes up");
+    tier.restart(2, StoreState::Intact).expect("the limiter starts");
     expect_version(&tier, &[0, 1, 2], first);
-    tier.expect_eventually("it serves", || tier.send_request(2).is_some_and(|s| s.version == Some(first)));
+    tier.expect_eventually("new version", || tier.send_request(2).is_some_and(|s| s.version == Some(first)));
     expect_consistent(&tier);
 }
 
 #[test]
-fn a_commit_at_the_very_moment_of_an_upgrade_is_not_missed_by_the_next_process() {
-    let tier = tier_of(3, |o| o.tier_block += "  hand_over = \"30s\"\n");
+fn change_during_an_upgrade_reaches_the_new_process() {
+    let tier = start_tier_with(3, |o| o.tier_block += "  hand_over = \"30s\"\n");
     tier.adopt();
     tier.start_load();
     let made = std::thread::scope(|s| {
         let upgraded = s.spawn(|| tier.upgrade(2));
-        let made = begin(&tier, 0, 6.5, "");
-        upgraded.join().expect("it ends").expect("the next process comes up");
+        let made = begin_rate_change(&tier, 0, 6.5, "");
+        upgraded.join().expect("the thread does not panic").expect("the new process starts");
         made
     });
     expect_version(&tier, &[0, 1, 2], made);
-    tier.expect_eventually("it serves", || tier.send_request(2).is_some_and(|s| s.version == Some(made)));
-    // The next process has the votes of the one before: it need not wait for an operator.
-    assert_eq!(tier.status(2).expect("it answers")["waits_for_adopt"], false);
+    tier.expect_eventually("new version", || tier.send_request(2).is_some_and(|s| s.version == Some(made)));
+    // The new process has the votes of the old one, so it does not wait for an operator.
+    assert_eq!(tier.status(2).expect("the limiter answers")["waits_for_adopt"], false);
     expect_consistent(&tier);
 }
 
 #[test]
-fn requests_in_flight_keep_their_version_and_are_retried_where_the_next_one_holds() {
-    let tier = tier_of(3, |o| o.backend_latency = Duration::from_millis(400));
+fn requests_in_flight_keep_their_version_and_retries_use_the_next_one() {
+    let tier = start_tier_with(3, |o| o.backend_latency = Duration::from_millis(400));
     tier.adopt();
     tier.start_load();
-    let mut at_work = Vec::new();
-    // Taken under version 0, answered after the moment of version 1; then the same across the undo.
-    for (version, back) in [(0, false), (1, true)] {
-        if back {
+    let mut answers = Vec::new();
+    // Requests are admitted under version 0 and answered when version 1 is active, and then the same for the undo.
+    for (version, is_undo) in [(0, false), (1, true)] {
+        if is_undo {
             assert_eq!(tier.call(1, "PUT", "rules/undo", "").map(|response| response.status), Some(200));
         } else {
-            begin(&tier, 0, 6.5, "");
+            begin_rate_change(&tier, 0, 6.5, "");
         }
-        tier.expect_eventually("it is decided", || tier.all_limiters(|s| s["decided"] == version + 1));
+        tier.expect_eventually("the decision", || tier.all_limiters(|s| s["decided"] == version + 1));
         let (mut crossed, mut waiting) =
             (0, (0..3).filter_map(|m| tier.start_request(m)).collect::<Vec<_>>());
-        tier.expect_eventually("a request in flight across the moment", || {
-            // The next ones leave before the last are answered: at every moment some are in flight.
+        tier.expect_eventually("a request in flight during the switch", || {
+            // Sends the next requests before reading the previous answers, so that some are always in flight.
             let next: Vec<_> = (0..3).filter_map(|m| tier.start_request(m)).collect();
-            let last = std::mem::replace(&mut waiting, next);
-            at_work.extend(last.into_iter().filter_map(|w| tier.finish_request(w)));
-            let moment = tier.status(0).and_then(|s| {
+            let previous = std::mem::replace(&mut waiting, next);
+            answers.extend(previous.into_iter().filter_map(|w| tier.finish_request(w)));
+            let switch = tier.status(0).and_then(|s| {
                 s["history"].as_array()?.iter().find(|p| p["version"] == version + 1)?["at"].as_u64()
             });
-            let moment = moment.expect("it is decided");
+            let switch = switch.expect("the change is decided");
             let across =
-                |s: &&AnswerRecord| s.version == Some(version) && s.sent < moment && s.answered > moment;
-            crossed = at_work.iter().filter(across).count();
+                |s: &&AnswerRecord| s.version == Some(version) && s.sent < switch && s.answered > switch;
+            crossed = answers.iter().filter(across).count();
             crossed > 0
         });
-        assert!(crossed > 0, "{at_work:?}");
-        // Its client tries again where the next version holds already, and is served under that one.
+        assert!(crossed > 0, "{answers:?}");
+        // Once the next version is active, the clients' retries are served under it.
         expect_version(&tier, &[0, 1, 2], version + 1);
         tier.expect_eventually("a retry", || {
             (0..3).all(|m| tier.send_request(m).is_some_and(|s| s.version == Some(version + 1)))
--- a/tests/rehearsal/main.rs
+++ b/tests/rehearsal/main.rs
@@ -1,6 +1,6 @@
-//! A rehearsal in small: real daemons between the kit's stand-ins, with a fault, and the captures they leave.
+//! A short rehearsal: real daemons between the kit's stand-ins, with a fault, and the captures that they write.
 //!
-//! Nothing here rests on how fast the machine is: what is checked holds for any timing.
+//! All assertions hold for any timing, so the speed of the machine does not matter.
 
 mod soak;
 
@@ -13,16 +13,18 @@
 
 const SECOND: u64 = 1_000_000;
 
+/// Returns the sample fleet, with `seconds` seconds of load.
 fn sample(seconds: u64) -> Fleet {
     let text = include_str!("../../deploy/fleet-sample.hcl");
-    let mut fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample has no fault");
+    let mut fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample is valid");
     fleet.load.length = seconds * SECOND;
-    // Changes of the roster reach limiters within the run.
+    // Short delays, so that changes of the endpoint list reach the limiters during the run.
     (fleet.discovery.notice, fleet.discovery.add) = ((100_000, 200_000), (100_000, 200_000));
     fleet
 }
 
-fn play(fleet: &Fleet, faults: &[Fault], captures: Option<Captures>) -> Rehearsed {
+/// Runs a rehearsal of a fleet and returns its result.
+fn run_rehearsal(fleet: &Fleet, faults: &[Fault], captures: Option<Captures>) -> Rehearsed {
     let demand = demand::draw(fleet, 3);
     let rehearsal = Rehearsal {
         fleet,
@@ -33,44 +35,46 @@
         captures,
         progress: &|_| {},
     };
-    hold(&rehearsal).expect("loopback and the daemon are there")
+    hold(&rehearsal).expect("the rehearsal starts")
 }
 
 #[test]
-fn every_try_ends_once_and_the_captures_agree_with_the_daemons() {
+fn each_client_request_ends_once_and_captures_match_the_counters() {
     let fleet = sample(4);
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("captures-{}", std::process::id()));
-    let room = Fault::ZoneLost { at: SECOND, span: SECOND, zone: 0, limiters: false, silent: false };
-    let held = play(&fleet, &[room], Some(Captures { folder: folder.clone(), only: Vec::new() }));
-    let tries = held.first_tries + held.retries;
-    assert_eq!(tries, held.served + held.refused + held.failed + held.gave_up);
-    assert!(held.served > 0, "{held:?}");
-    let taken: u64 = held.daemons.iter().map(|d| d.taken).sum();
-    assert!(taken <= tries && taken > 0);
+    let directory =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("captures-{}", std::process::id()));
+    let zone_loss = Fault::ZoneLost { at: SECOND, span: SECOND, zone: 0, limiters: false, silent: false };
+    let result =
+        run_rehearsal(&fleet, &[zone_loss], Some(Captures { folder: directory.clone(), only: Vec::new() }));
+    let client_requests = result.first_tries + result.retries;
+    assert_eq!(client_requests, result.served + result.refused + result.failed + result.gave_up);
+    assert!(result.served > 0, "{result:?}");
+    let admitted: u64 = result.daemons.iter().map(|d| d.taken).sum();
+    assert!(admitted <= client_requests && admitted > 0);
 
-    let capture = |n: u32| read_file(&folder.join(format!("n{n}.sedgecap"))).expect("a capture");
+    let capture = |n: u32| read_file(&directory.join(format!("n{n}.sedgecap"))).expect("a capture");
     let captures: Vec<_> = (0..3).map(capture).collect();
-    assert_eq!(captures.len(), held.daemons.len());
-    for (capture, daemon) in captures.iter().zip(&held.daemons) {
+    assert_eq!(captures.len(), result.daemons.len());
+    for (capture, daemon) in captures.iter().zip(&result.daemons) {
         assert_eq!(capture.damage, None);
         assert_eq!(capture.records.len() as u64 + capture.dropped, daemon.taken, "{}", daemon.name);
     }
-    let merged = merge(captures).expect("one tier");
+    let merged = merge(captures).expect("captures of one tier");
     let served = merged.records.iter().filter(|r| r.outcome == Outcome::Served).count() as u64;
-    // A client that gives up as its answer is under way is served to its limiter alone.
-    assert!((held.served..=held.served + held.gave_up).contains(&served), "{served} {held:?}");
+    // If a client gives up while its answer is on the way, only the limiter counts the request as served.
+    assert!((result.served..=result.served + result.gave_up).contains(&served), "{served} {result:?}");
     let customers: std::collections::BTreeSet<u64> = merged.records.iter().map(|r| r.customer).collect();
-    let asked: Vec<u64> = demand::draw(&fleet, 3).arrivals.iter().map(|a| a.customer).collect();
-    assert!(customers.iter().all(|c| !asked.contains(c)), "a capture tells no customer's id");
-    let _ = std::fs::remove_dir_all(&folder);
+    let customer_ids: Vec<u64> = demand::draw(&fleet, 3).arrivals.iter().map(|a| a.customer).collect();
+    assert!(customers.iter().all(|c| !customer_ids.contains(c)), "a capture must not contain customer ids");
+    let _ = std::fs::remove_dir_all(&directory);
 }
 
 #[test]
-fn what_loopback_cannot_play_is_said_before_anything_starts() {
+fn unsupported_faults_and_a_missing_daemon_are_reported() {
     let fleet = sample(1);
     let demand = demand::draw(&fleet, 1);
     let silent = [Fault::ZoneLost { at: 0, span: SECOND, zone: 0, limiters: false, silent: true }];
-    let missing = |faults: &[Fault]| {
+    let failure = |faults: &[Fault]| {
         let daemon = PathBuf::from("/nowhere/sedgestack");
         let rehearsal = Rehearsal {
             fleet: &fleet,
@@ -81,9 +85,9 @@
             captures: None,
             progress: &|_| {},
         };
-        hold(&rehearsal).expect_err("it can't be held")
+        hold(&rehearsal).expect_err("the rehearsal must fail")
     };
-    assert!(matches!(missing(&silent), Failure::Unplayable(_)));
-    let told = missing(&[]).to_string();
-    assert!(told.starts_with("/nowhere/sedgestack: "), "{told}");
+    assert!(matches!(failure(&silent), Failure::Unplayable(_)));
+    let message = failure(&[]).to_string();
+    assert!(message.starts_with("/nowhere/sedgestack: "), "{message}");
 }
