--- a/crates/hcl/src/duration.rs
+++ b/crates/hcl/src/duration.rs
@@ -1,6 +1,6 @@
 //! Parsing of durations such as `"800ms"`.
 
-/// A duration or a point in time in microseconds.
+/// A duration in microseconds.
 pub type Micros = u64;
 
 /// Exclusive upper limit of a duration, in microseconds. Below it, `f64` represents every whole number exactly.
--- a/tests/fleet_rules/crashes.rs
+++ b/tests/fleet_rules/crashes.rs
@@ -31,7 +31,7 @@
     assert_eq!(waiting.len(), 20);
     tier.thaw(2);
     let answers: Vec<_> = waiting.into_iter().filter_map(|w| tier.finish_request(w)).collect();
-    assert!(!answers.is_empty(), "the waiting requests are answered");
+    assert!(!answers.is_empty(), "no waiting request was answered");
     expect_version(&tier, &[2], 2);
     expect_consistent(&tier);
 }
@@ -42,11 +42,11 @@
     for (kind, nth) in steps {
         let tier = start_tier(3);
         let killed = tier.schedule_kill(Trigger { from: 0, kind, nth }, 0);
-        let begun = tier.begin_change(0, &next_document(&tier, 0, 6.5), "");
+        let result = tier.begin_change(0, &next_document(&tier, 0, 6.5), "");
         killed.wait();
         // The other two limiters agree on the outcome, and the next change succeeds.
         let version = begin_rate_change(&tier, 1, 6.0, "");
-        assert!(version > 0, "after {kind} {nth}: {begun:?}");
+        assert!(version > 0, "after {kind} {nth}: {result:?}");
         expect_version(&tier, &[1, 2], version);
         tier.restart(0, StoreState::Intact).expect("the limiter starts");
         expect_version(&tier, &[0], version);
@@ -71,9 +71,9 @@
     expect_version(&tier, &[0, 1, 2], 2);
     expect_consistent(&tier);
     let history = tier.status(0).expect("the limiter answers")["history"].clone();
-    let made = history.as_array().expect("a list").iter().filter(|p| p["void"] == false).count();
+    let completed = history.as_array().expect("a list").iter().filter(|p| p["void"] == false).count();
     let status = tier.status(2).expect("the limiter answers");
-    assert!(made == 2 && status["text"].as_str().expect("text").contains("rate  = 7.2"), "{history}");
+    assert!(completed == 2 && status["text"].as_str().expect("text").contains("rate  = 7.2"), "{history}");
 }
 
 #[test]
@@ -84,10 +84,10 @@
     for (from, kind) in [(1, "promise"), (0, "accept")] {
         let killed = tier.schedule_kill(Trigger { from, kind, nth: 1 }, 1);
         let before = tier.status(0).expect("the limiter answers")["decided"].as_u64().expect("a number");
-        let begun = begin_rate_change(&tier, 0, if before == 0 { 6.5 } else { 6.0 }, "");
+        let version = begin_rate_change(&tier, 0, if before == 0 { 6.5 } else { 6.0 }, "");
         killed.wait();
         tier.restart(1, StoreState::Missing).expect("the limiter starts");
-        expect_version(&tier, &[0, 1, 2], begun);
+        expect_version(&tier, &[0, 1, 2], version);
         tier.expect_eventually("all are current", || tier.all_limiters(|s| s["standing"] == "current"));
     }
     expect_consistent(&tier);
@@ -115,10 +115,10 @@
     tier.links().restore();
     tier.restart(1, StoreState::Intact).expect("the limiter starts");
     // Limiter 2 may begin its change before it knows of the first one. The first one then wins the same version.
-    let begun = begin_rate_change(&tier, 2, 6.0, "");
-    expect_version(&tier, &[1, 2], begun);
+    let version = begin_rate_change(&tier, 2, 6.0, "");
+    expect_version(&tier, &[1, 2], version);
     tier.restart(0, StoreState::Intact).expect("the limiter starts");
-    expect_version(&tier, &[0], begun);
+    expect_version(&tier, &[0], version);
     expect_consistent(&tier);
     for limiter in 0..3 {
         tier.expect_eventually("the first decision is unchanged", || first_digest(limiter) == decided);
@@ -128,8 +128,8 @@
 #[test]
 fn restarted_tier_resumes_with_the_stored_version() {
     let tier = start_tier(3);
-    let made = begin_rate_change(&tier, 0, 6.5, "");
-    expect_version(&tier, &[0, 1, 2], made);
+    let version = begin_rate_change(&tier, 0, 6.5, "");
+    expect_version(&tier, &[0, 1, 2], version);
     tier.stop_load();
     (0..3).for_each(|m| tier.terminate(m));
     // A majority of the stores is intact. The third is truncated and set aside.
@@ -140,7 +140,7 @@
         tier.log(2).iter().any(|line| line.contains("set aside as"))
     });
     tier.start_load();
-    expect_version(&tier, &[0, 1, 2], made);
+    expect_version(&tier, &[0, 1, 2], version);
     expect_consistent(&tier);
     // Without any store the tier does not know its version. It reports that, and rejects all requests until an operator
     // adopts a version.
@@ -158,8 +158,8 @@
     let tier = start_tier(3);
     tier.expect_eventually("limiter 2 is ready", || tier.is_ready(2) == Some(true));
     tier.freeze(2);
-    let made = begin_rate_change(&tier, 0, 6.5, "");
-    expect_version(&tier, &[0, 1], made);
+    let version = begin_rate_change(&tier, 0, 6.5, "");
+    expect_version(&tier, &[0, 1], version);
     // Limiter 2 resumes without contact to the others, and its version lease has expired.
     tier.links().partition(&[&[0, 1], &[2]]);
     tier.thaw(2);
@@ -167,6 +167,6 @@
     assert_eq!(tier.send_request(2).map(|s| (s.status, s.version)), Some((429, None)));
     tier.links().restore();
     tier.expect_eventually("limiter 2 is ready again", || tier.is_ready(2) == Some(true));
-    expect_version(&tier, &[2], made);
+    expect_version(&tier, &[2], version);
     expect_consistent(&tier);
 }
--- a/tests/fleet_rules/network.rs
+++ b/tests/fleet_rules/network.rs
@@ -23,10 +23,10 @@
     tier.expect_eventually("a detached limiter rejects", || {
         tier.send_request(0).is_some_and(|s| s.status == 429 && s.version.is_none())
     });
-    let made = begin_rate_change(&tier, 2, 6.0, "");
-    expect_version(&tier, &[2, 3, 4], made);
+    let version = begin_rate_change(&tier, 2, 6.0, "");
+    expect_version(&tier, &[2, 3, 4], version);
     tier.links().restore();
-    expect_version(&tier, &[0, 1], made);
+    expect_version(&tier, &[0, 1], version);
     expect_consistent(&tier);
     let digest = |m: u32| tier.status(m).expect("the limiter answers")["digest"].clone();
     assert_eq!(digest(0), digest(3));
@@ -44,8 +44,8 @@
         ));
     }
     tier.links().restore();
-    let made = begin_rate_change(&tier, 4, 6.5, "");
-    expect_version(&tier, &[0, 1, 2, 3, 4], made);
+    let version = begin_rate_change(&tier, 4, 6.5, "");
+    expect_version(&tier, &[0, 1, 2, 3, 4], version);
     expect_consistent(&tier);
 }
 
@@ -53,8 +53,8 @@
 fn change_succeeds_despite_a_ring_of_one_way_link_failures() {
     let tier = start_tier(5);
     (0..5).for_each(|m| tier.links().cut(m, (m + 1) % 5));
-    let made = begin_rate_change(&tier, 0, 6.5, "");
-    expect_version(&tier, &[0, 1, 2, 3, 4], made);
+    let version = begin_rate_change(&tier, 0, 6.5, "");
+    expect_version(&tier, &[0, 1, 2, 3, 4], version);
     expect_consistent(&tier);
 }
 
@@ -100,10 +100,10 @@
     ] {
         tier.links().set_service(limiter, service, state);
     }
-    let made = begin_rate_change(&tier, 0, 6.5, "");
-    expect_version(&tier, &[0, 1, 2], made);
+    let version = begin_rate_change(&tier, 0, 6.5, "");
+    expect_version(&tier, &[0, 1, 2], version);
     tier.expect_eventually("all limiters serve requests", || {
-        (0..3).all(|m| tier.send_request(m).is_some_and(|s| s.version == Some(made)))
+        (0..3).all(|m| tier.send_request(m).is_some_and(|s| s.version == Some(version)))
     });
     tier.links().restore();
     expect_consistent(&tier);
--- a/tests/fleet_rules/operators.rs
+++ b/tests/fleet_rules/operators.rs
@@ -18,8 +18,9 @@
     tier.expect_eventually("the outcome of both changes", || {
         (a.is_err() || outcome(0) != "open") && (b.is_err() || outcome(2) != "open")
     });
-    let made = [(&a, 0), (&b, 2)].iter().filter(|(begun, m)| begun.is_ok() && outcome(*m) == "made").count();
-    assert!(made <= 1, "{:?} {:?}", outcome(0), outcome(2));
+    let success_count =
+        [(&a, 0), (&b, 2)].iter().filter(|(result, m)| result.is_ok() && outcome(*m) == "made").count();
+    assert!(success_count <= 1, "{:?} {:?}", outcome(0), outcome(2));
     expect_consistent(&tier);
 }
 
@@ -27,8 +28,8 @@
 fn change_with_an_outdated_parent_is_rejected() {
     let tier = start_tier(3);
     let outdated = next_document(&tier, 1, 6.5);
-    let made = begin_rate_change(&tier, 0, 6.0, "");
-    expect_version(&tier, &[0, 1, 2], made);
+    let version = begin_rate_change(&tier, 0, 6.0, "");
+    expect_version(&tier, &[0, 1, 2], version);
     match tier.begin_change(1, &outdated, "") {
         Err(ChangeError::Rejected { status: 409, body: message }) => {
             assert!(message.starts_with("it was made for version 0, and version 1 is in force"), "{message}");
@@ -48,11 +49,11 @@
     assert_eq!((change()["outcome"].as_str(), change()["unanswered"][0].as_u64()), (Some("void"), Some(2)));
     tier.expect_eventually("all limiters are current", || tier.all_limiters(|s| s["standing"] == "current"));
     // The change succeeds when the operator excludes limiter 2.
-    let made = begin_rate_change(&tier, 0, 6.5, "&scope=all&except=2");
-    expect_version(&tier, &[0, 1], made);
+    let version = begin_rate_change(&tier, 0, 6.5, "&scope=all&except=2");
+    expect_version(&tier, &[0, 1], version);
     tier.expect_eventually("the change succeeds", || change()["outcome"] == "made");
     tier.restart(2, StoreState::Intact).expect("the limiter starts");
-    expect_version(&tier, &[2], made);
+    expect_version(&tier, &[2], version);
     expect_consistent(&tier);
 }
 
@@ -60,12 +61,12 @@
 fn concurrent_reload_and_change_both_succeed() {
     let tier = start_tier(3);
     let document = next_document(&tier, 0, 6.5);
-    let made = std::thread::scope(|s| {
+    let result = std::thread::scope(|s| {
         let change = s.spawn(|| tier.begin_change(0, &document, ""));
         (0..3).for_each(|m| tier.reload(m));
         change.join().expect("the thread does not panic")
     });
-    let version = made.unwrap_or_else(|_| begin_rate_change(&tier, 0, 6.5, ""));
+    let version = result.unwrap_or_else(|_| begin_rate_change(&tier, 0, 6.5, ""));
     expect_version(&tier, &[0, 1, 2], version);
     (0..3).for_each(|m| assert!(tier.log(m).iter().any(|l| l.contains("reload:")), "n{m}: no reload"));
     expect_consistent(&tier);
--- a/tests/fleet_rules/upgrades.rs
+++ b/tests/fleet_rules/upgrades.rs
@@ -29,14 +29,14 @@
     let tier = start_tier_with(3, |o| o.tier_block += "  hand_over = \"30s\"\n");
     tier.adopt();
     tier.start_load();
-    let made = std::thread::scope(|s| {
+    let version = std::thread::scope(|s| {
         let upgraded = s.spawn(|| tier.upgrade(2));
-        let made = begin_rate_change(&tier, 0, 6.5, "");
+        let version = begin_rate_change(&tier, 0, 6.5, "");
         upgraded.join().expect("the thread does not panic").expect("the new process starts");
-        made
+        version
     });
-    expect_version(&tier, &[0, 1, 2], made);
-    tier.expect_eventually("new version", || tier.send_request(2).is_some_and(|s| s.version == Some(made)));
+    expect_version(&tier, &[0, 1, 2], version);
+    tier.expect_eventually("version", || tier.send_request(2).is_some_and(|s| s.version == Some(version)));
     // The new process has the votes of the old one, so it does not wait for an operator.
     assert_eq!(tier.status(2).expect("the limiter answers")["waits_for_adopt"], false);
     expect_consistent(&tier);
--- a/tests/limiter/discovery.rs
+++ b/tests/limiter/discovery.rs
@@ -64,7 +64,7 @@
     let started = Instant::now();
     let limiters: Vec<Limiter> = std::thread::scope(|scope| {
         let starts: Vec<_> = (0..12).map(|_| scope.spawn(|| Limiter::start(&config))).collect();
-        starts.into_iter().map(|start| start.join().expect("it starts")).collect()
+        starts.into_iter().map(|start| start.join().expect("the limiter starts")).collect()
     });
     for limiter in &limiters {
         limiter.wait_until_ready();
@@ -92,5 +92,9 @@
     }
     push.send(json!({"version": 4, "full": false, "servers": [new.entry("s-3", "Terminating")]})).unwrap();
     limiter.wait_for_counters(|count| count("list_changes") == 3);
-    assert_ne!(limiter.request(&get_request("large", 1)).status(), 200, "no backend is left");
+    assert_ne!(
+        limiter.request(&get_request("large", 1)).status(),
+        200,
+        "a request was served without a backend"
+    );
 }
--- a/tests/limiter/main.rs
+++ b/tests/limiter/main.rs
@@ -261,7 +261,7 @@
     assert_eq!(limiter.request(&get_request("large", 1)).body, "a report");
     assert_eq!(limiter.request(&get_request("large", 1)).body, "a report");
     connections.recv_timeout(HANG_TIMEOUT).unwrap();
-    assert!(connections.try_recv().is_err(), "the first connection is reused");
+    assert!(connections.try_recv().is_err(), "the first connection was not reused");
     let servers = [entry(1000), marker.entry("s-2", "Ready")];
     push.send(json!({"version": 2, "full": false, "servers": servers})).unwrap();
     while limiter.request(&get_request("large", 1)).body != "marker" {}
@@ -317,7 +317,7 @@
     busy.write(&get_request("large", 1));
     backend.wait_for_request();
     limiter.signal("TERM");
-    assert!(idle.read_answer().is_none(), "an idle downstream connection is closed");
+    assert!(idle.read_answer().is_none(), "an idle connection was not closed");
     release.send(()).unwrap();
     let answer = busy.read_answer().expect("the open request is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
@@ -345,7 +345,7 @@
         client.write(&get_request("large", 1));
         holding.wait_for_request();
 
-        assert!(limiter.reload("{").contains("refused"), "an invalid file is refused");
+        assert!(limiter.reload("{").contains("refused"), "an invalid file was not refused");
         assert!(connected_b.try_recv().is_err());
         settings["discovery"] = json!(discovery_b.to_string());
         settings["counter"] = json!(counter_b.to_string());
--- a/tests/limiter/shutdown.rs
+++ b/tests/limiter/shutdown.rs
@@ -11,7 +11,7 @@
     let mut idle = limiter.connect();
     assert_eq!(idle.request(&get_request("large", 1)).status(), 200);
     limiter.signal("TERM");
-    assert!(idle.read_answer().is_none(), "the idle connection is closed");
+    assert!(idle.read_answer().is_none(), "the idle connection was not closed");
 }
 
 /// The limiter has read half of the next request on a persistent connection when it stops. It must answer that request.
@@ -101,7 +101,7 @@
     // Later than the 0.6 s margin of the shutdown, so the request's 3 s deadline is after the end of the program.
     std::thread::sleep(Duration::from_millis(1_200));
     client.write(rest);
-    assert!(client.read_answer().is_some(), "the late request is answered");
+    assert!(client.read_answer().is_some(), "the late request was not answered");
     let (status, _) = limiter.wait_for_exit();
     assert!(status.success());
 }
@@ -126,6 +126,6 @@
     limiter.signal("TERM");
     std::thread::sleep(Duration::from_millis(1_200));
     client.write(rest);
-    assert!(client.read_answer().is_some(), "the late request is answered");
+    assert!(client.read_answer().is_some(), "the late request was not answered");
     assert!(signaled_at.elapsed() < EARLIEST_KILL, "answered {:?} after SIGTERM", signaled_at.elapsed());
 }
--- a/tests/limiter/upgrade.rs
+++ b/tests/limiter/upgrade.rs
@@ -103,7 +103,7 @@
         assert_eq!(
             deployment.backends[index].request_count(),
             before,
-            "{name} is cordoned in both processes"
+            "{name} got requests although it is cordoned"
         );
         // A call to the other process undoes the cordon in both.
         assert_eq!(other.call_admin("PUT", &format!("uncordon?name={name}")).status(), 200);
@@ -173,5 +173,5 @@
         ));
         deployment.send_requests(&running, 20);
     }
-    assert_eq!(deployment.backends[1].request_count(), 0, "s-2 is still cordoned");
+    assert_eq!(deployment.backends[1].request_count(), 0, "s-2 got requests although it is cordoned");
 }
--- a/tests/limiter/window.rs
+++ b/tests/limiter/window.rs
@@ -42,7 +42,7 @@
     assert_eq!(
         client.read_answer().expect("an answer").status(),
         502,
-        "the request may have run, so it is not retried"
+        "the request may have run and must not be retried"
     );
     while limiter.request(&get_request("large", 1)).status() != 200 {}
     let forwarded: Vec<String> = late.take_requests().into_iter().map(|m| m.start_line).collect();
