--- a/crates/canary/examples/false_alarms.rs
+++ b/crates/canary/examples/false_alarms.rs
@@ -8,7 +8,7 @@
 use rayon::prelude::*;
 use sedgestack_canary::{CanaryAnalysis, Second, Settings, Verdict};
 use sedgestack_fleet::Fleet;
-use sedgestack_model::{demand, run, Fault, ObservedOutcome, ObservedRequest, RulesChange, Scenario};
+use sedgestack_model::{demand, run, ConfigurationChange, Fault, ObservedOutcome, ObservedRequest, Scenario};
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const CHANGE_AT_S: u64 = 22;
@@ -48,7 +48,7 @@
 /// Outcomes of the clients' first tries by second of the run.
 fn outcomes_by_second(fleet: &Fleet, observed: &[ObservedRequest]) -> Vec<Second> {
     let mut seconds = vec![Second::default(); RUN_LENGTH_S as usize + 1];
-    for request in observed.iter().filter(|request| !request.retry) {
+    for request in observed.iter().filter(|request| !request.is_retry) {
         let Some(second) = seconds.get_mut((request.at / MICROS_PER_SECOND) as usize) else { continue };
         let is_in_time = request.outcome == ObservedOutcome::Served
             && request.latency <= fleet.classes[request.class].latency_objective;
@@ -61,7 +61,7 @@
 
 fn simulate(before: &Fleet, after: &Fleet, faults: &[Fault], seed: u64) -> Verdict {
     let demand = demand::draw(before, seed);
-    let change = RulesChange { at: CHANGE_AT, rules: after.clone() };
+    let change = ConfigurationChange { at: CHANGE_AT, fleet: after.clone() };
     let scenario = Scenario {
         record: true,
         faults: faults.to_vec(),
--- a/crates/model/examples/limiters.rs
+++ b/crates/model/examples/limiters.rs
@@ -32,10 +32,10 @@
             let demand = demand::draw(&fleet, seed);
             let begun = Instant::now();
             let outcome = run(&Scenario::new(&fleet, &demand), seed);
-            let c = &outcome.conservation;
+            let c = &outcome.counts;
             let tries = (c.first_tries + c.retries) as f64;
             share += outcome.score.overall.share();
-            refused += c.refused as f64 / tries;
+            refused += c.rejected as f64 / tries;
             attempts += c.attempts as f64 / tries;
             micros += begun.elapsed().as_secs_f64() * 1e6 / tries;
         }
--- a/crates/model/examples/scale.rs
+++ b/crates/model/examples/scale.rs
@@ -37,7 +37,7 @@
         let begun = Instant::now();
         let outcome = run(&Scenario::new(&fleet, &demand), 1);
         let wall = begun.elapsed().as_secs_f64();
-        let tries = outcome.conservation.first_tries as f64;
+        let tries = outcome.counts.first_tries as f64;
         println!(
             "{workers:7} {limiters:8} {seconds:11} {tries:8} {wall:6.2} {:14.0} {:12.0} {:13.3} {:>7}",
             tries / wall,
--- a/crates/model/src/backend.rs
+++ b/crates/model/src/backend.rs
@@ -28,15 +28,15 @@
 
 /// What becomes of a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// It is processed.
-    Begun,
+    Started,
     /// It is queued.
-    Waits,
+    Queued,
     /// It is rejected: the queue is full.
-    Full,
+    QueueFull,
     /// It was more than the backend, which is warming up, could take; the backend is gone.
-    Fell,
+    Crashed,
 }
 
 /// A request that left.
@@ -47,7 +47,7 @@
     /// When it left.
     pub at: Micros,
     /// Whether it was worked to its end; else it was dropped unworked, as its caller had given up.
-    pub worked: bool,
+    pub is_completed: bool,
 }
 
 /// A backend's load report.
@@ -157,7 +157,7 @@
     }
 
     /// When something happens next, if nothing arrives before.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_event_at(&self) -> Option<Micros> {
         let first = self.in_work.peek()?;
         let left = ((first.until - self.attained).max(0.0) / self.rate()).ceil() as Micros;
         let done = self.now + left.max(1);
@@ -168,7 +168,7 @@
     /// Goes on to `to`; what left on the way is added to `left`.
     pub fn advance(&mut self, to: Micros, left: &mut Vec<FinishedJob>) {
         while self.now < to {
-            let until = self.next().map_or(to, |next| next.min(to));
+            let until = self.next_event_at().map_or(to, |next| next.min(to));
             let span = (until - self.now) as f64;
             self.busy += span * (self.in_work.len() as f64).min(f64::from(self.kind.cores));
             self.attained += span * self.rate();
@@ -178,7 +178,7 @@
                 let service = (self.now - done.begun) as f64;
                 let weight = if self.latency == 0.0 { 1.0 } else { LATENCY_WEIGHT };
                 self.latency += weight * (service - self.latency);
-                left.push(FinishedJob { id: done.id, at: self.now, worked: true });
+                left.push(FinishedJob { id: done.id, at: self.now, is_completed: true });
                 self.begin_next(left);
             }
         }
@@ -188,7 +188,7 @@
         while self.in_work.len() < self.kind.slots as usize {
             let Some(job) = self.waiting.pop_front() else { return };
             if self.kind.drops_expired && job.expires <= self.now {
-                left.push(FinishedJob { id: job.id, at: self.now, worked: false });
+                left.push(FinishedJob { id: job.id, at: self.now, is_completed: false });
                 continue;
             }
             self.begin(job);
@@ -202,7 +202,7 @@
     }
 
     /// Takes a request that has come whole. Call [`advance`](SimulatedBackend::advance) to the same moment first.
-    pub fn offer(&mut self, job: Job) -> Offer {
+    pub fn offer(&mut self, job: Job) -> Admission {
         if self.is_warming_up(self.now) {
             let since = self.now.saturating_sub(self.rules.fall_window);
             while self.sent.front().is_some_and(|(at, _)| *at < since) {
@@ -213,18 +213,18 @@
             let capacity = f64::from(self.kind.cores) * self.speed * self.capacity_share(self.now);
             let most = self.rules.fall_multiple * capacity * self.rules.fall_window as f64;
             if self.sent_sum > most {
-                return Offer::Fell;
+                return Admission::Crashed;
             }
         }
         if self.in_work.len() < self.kind.slots as usize {
             self.begin(job);
-            return Offer::Begun;
+            return Admission::Started;
         }
         if self.waiting.len() >= self.kind.queue_capacity as usize {
-            return Offer::Full;
+            return Admission::QueueFull;
         }
         self.waiting.push_back(job);
-        Offer::Waits
+        Admission::Queued
     }
 
     /// A caller gave up: returns whether its request was dropped from the queue.
@@ -237,7 +237,7 @@
     }
 
     /// Requests in work and waiting.
-    pub fn in_work_and_queued(&self) -> (usize, usize) {
+    pub fn running_and_queued(&self) -> (usize, usize) {
         (self.in_work.len(), self.waiting.len())
     }
 
--- a/crates/model/src/backend/tests.rs
+++ b/crates/model/src/backend/tests.rs
@@ -19,10 +19,10 @@
 fn requests_share_the_cores_and_none_takes_more_than_one() {
     let mut backend = SimulatedBackend::new(&kind(), &rules(), 1.0, None, 0);
     let mut left = Vec::new();
-    assert_eq!(backend.offer(job(1, 100_000.0)), Offer::Begun);
+    assert_eq!(backend.offer(job(1, 100_000.0)), Admission::Started);
     backend.advance(50_000, &mut left);
     for id in 2..=3 {
-        assert_eq!(backend.offer(job(id, 100_000.0)), Offer::Begun);
+        assert_eq!(backend.offer(job(id, 100_000.0)), Admission::Started);
     }
     backend.advance(1_000_000, &mut left);
     let at: Vec<Micros> = left.iter().map(|l| l.at).collect();
@@ -34,8 +34,11 @@
 #[test]
 fn requests_beyond_the_slots_are_queued_and_beyond_the_queue_rejected() {
     let mut backend = SimulatedBackend::new(&kind(), &rules(), 1.0, None, 0);
-    let offers: Vec<Offer> = (1..=5).map(|id| backend.offer(job(id, 1_000.0))).collect();
-    assert_eq!(offers, [Offer::Begun, Offer::Begun, Offer::Begun, Offer::Waits, Offer::Full]);
+    let offers: Vec<Admission> = (1..=5).map(|id| backend.offer(job(id, 1_000.0))).collect();
+    assert_eq!(
+        offers,
+        [Admission::Started, Admission::Started, Admission::Started, Admission::Queued, Admission::QueueFull]
+    );
     assert!(backend.cancel(4));
     assert!(!backend.cancel(1), "begun work goes on");
 }
@@ -49,7 +52,7 @@
     backend.offer(Job { id: 4, work: 1_000.0, expires: 10 });
     let mut left = Vec::new();
     backend.advance(1_000_000, &mut left);
-    assert!(left.contains(&FinishedJob { id: 4, at: 150_000, worked: false }), "{left:?}");
+    assert!(left.contains(&FinishedJob { id: 4, at: 150_000, is_completed: false }), "{left:?}");
 }
 
 #[test]
@@ -63,8 +66,8 @@
     backend.advance(1_000_000, &mut left);
     assert!((left[0].at as f64 - 330_000.0).abs() < 10_000.0, "{left:?}");
     // Its present capacity is about 2 x 0.37 cores; four times that over 2 s is about 5.9 s of work.
-    let offers: Vec<Offer> = (2..9).map(|id| backend.offer(job(id, 1_000_000.0))).collect();
-    assert_eq!(offers.iter().position(|o| *o == Offer::Fell), Some(5), "{offers:?}");
+    let offers: Vec<Admission> = (2..9).map(|id| backend.offer(job(id, 1_000_000.0))).collect();
+    assert_eq!(offers.iter().position(|o| *o == Admission::Crashed), Some(5), "{offers:?}");
 }
 
 #[test]
--- a/crates/model/src/counter.rs
+++ b/crates/model/src/counter.rs
@@ -43,7 +43,7 @@
     }
 
     /// Forgets every name, as a counter does that is back elsewhere.
-    pub fn empty(&mut self) {
+    pub fn clear(&mut self) {
         self.names.clear();
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Names held, the forgotten ones among them until the next sweep.
-    pub fn names(&self) -> usize {
+    pub fn name_count(&self) -> usize {
         self.names.len()
     }
 
--- a/crates/model/src/counter/tests.rs
+++ b/crates/model/src/counter/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!(total(counter.add(0, "a", 2.0, 1_000_000)), 2.0);
     assert_eq!(total(counter.add(500_000, "a", 1.5, 9)), 3.5);
     assert_eq!(total(counter.add(1_000_000, "a", 1.0, 1_000_000)), 1.0);
-    counter.empty();
+    counter.clear();
     assert_eq!(total(counter.add(1_500_000, "a", 1.0, 1_000_000)), 1.0);
 }
 
--- a/crates/model/src/demand.rs
+++ b/crates/model/src/demand.rs
@@ -31,7 +31,7 @@
     /// Through how many limiters in a row it may come, after the last one from 0 on.
     pub spread: u32,
     /// The first of these.
-    pub first: u32,
+    pub first_limiter: u32,
     /// How long its client waits.
     pub timeout: Micros,
 }
@@ -46,21 +46,21 @@
 }
 
 /// How the units of a request follow from its work: one for each mean work begun, up to `most`.
-pub fn units_of(work: f64, class: &Class, most: u32) -> f64 {
+pub fn units_for_work(work: f64, class: &Class, most: u32) -> f64 {
     (work / class.work as f64).ceil().clamp(1.0, f64::from(most))
 }
 
 /// Draws of one class's work.
-pub struct Work {
+pub struct WorkDistribution {
     gamma: Gamma<f64>,
 }
 
-impl Work {
+impl WorkDistribution {
     /// Gamma-distributed work with the class's mean times `scale`, and its coefficient of variation.
-    pub fn new(class: &Class, scale: f64) -> Work {
+    pub fn new(class: &Class, scale: f64) -> WorkDistribution {
         let shape = 1.0 / (class.work_cv * class.work_cv);
         let gamma = Gamma::new(shape, class.work as f64 * scale / shape).expect("a checked class has these");
-        Work { gamma }
+        WorkDistribution { gamma }
     }
 
     /// Work of one request.
@@ -68,11 +68,11 @@
         self.gamma.sample(rng).max(1.0)
     }
 
-    /// Work of one request that is known to have declared `units`. `scale` is that of [`Work::new`].
-    pub fn draw_given(&self, rng: &mut Stream, class: &Class, most: u32, units: f64, scale: f64) -> f64 {
+    /// Work of one request that is known to have declared `units`. `scale` is that of [`WorkDistribution::new`].
+    pub fn draw_for_units(&self, rng: &mut Stream, class: &Class, most: u32, units: f64, scale: f64) -> f64 {
         let mut work = self.draw(rng);
         for _ in 0..MOST_DRAWS {
-            if units_of(work / scale, class, most) == units {
+            if units_for_work(work / scale, class, most) == units {
                 return work;
             }
             work = self.draw(rng);
@@ -84,8 +84,8 @@
 /// Mean units of a request of a class.
 pub fn mean_units(class: &Class, most: u32) -> f64 {
     let mut rng = stream(0, Concern::Work, u64::MAX);
-    let work = Work::new(class, 1.0);
-    let sum: f64 = (0..UNITS_SAMPLE).map(|_| units_of(work.draw(&mut rng), class, most)).sum();
+    let work = WorkDistribution::new(class, 1.0);
+    let sum: f64 = (0..UNITS_SAMPLE).map(|_| units_for_work(work.draw(&mut rng), class, most)).sum();
     sum / UNITS_SAMPLE as f64
 }
 
@@ -94,7 +94,7 @@
     plan: usize,
     id: u64,
     spread: u32,
-    first: u32,
+    first_limiter: u32,
     /// Units a second outside spikes.
     rate: f64,
     /// Spikes: from, until, and times the rate.
@@ -139,7 +139,7 @@
         plan,
         id: mix_bits(seed ^ mix_bits((plan as u64) << 40 | number)) >> 31,
         spread: rng.random_range(quota.spread.0..=quota.spread.1).min(limiters),
-        first: rng.random_range(0..limiters),
+        first_limiter: rng.random_range(0..limiters),
         rate: use_ * quota.rate,
         spikes,
     }
@@ -171,13 +171,13 @@
             ask(fleet, &habit, mean, seed, &mut arrivals);
         }
     }
-    sort(&mut arrivals);
+    sort_arrivals(&mut arrivals);
     Demand { arrivals, length: load.length }
 }
 
 /// Sorts first tries by time; those of one moment by customer, so that the order never depends on how they
 /// were gathered.
-pub fn sort(arrivals: &mut [Arrival]) {
+pub fn sort_arrivals(arrivals: &mut [Arrival]) {
     arrivals.sort_by_key(|a| (a.at, a.customer));
 }
 
@@ -185,7 +185,7 @@
     let load = &fleet.load;
     let rng = &mut stream(seed, Concern::Arrivals, habit.id);
     let work_rng = &mut stream(seed, Concern::Work, habit.id);
-    let works: Vec<Work> = fleet.classes.iter().map(|c| Work::new(c, 1.0)).collect();
+    let works: Vec<WorkDistribution> = fleet.classes.iter().map(|c| WorkDistribution::new(c, 1.0)).collect();
     // Thinning: candidates come at the highest rate there may be and stay with the share that holds then.
     let spike = habit.spikes.iter().map(|s| s.2).fold(1.0, f64::max);
     let surge = fleet.surges.iter().map(|s| s.arrivals.max(1.0)).product::<f64>();
@@ -221,10 +221,10 @@
             class,
             plan: habit.plan,
             customer: habit.id,
-            units: units_of(work, spec, fleet.rules.most_units),
+            units: units_for_work(work, spec, fleet.rules.most_units),
             work: work * surge_at(&fleet.surges, class, now).1,
             spread: habit.spread,
-            first: habit.first,
+            first_limiter: habit.first_limiter,
             timeout: (patience as Micros).max(1_000),
         });
     }
@@ -232,7 +232,7 @@
 
 /// The limiter of a customer's set through which it comes at a moment: weights are drawn anew every
 /// `shift_every`, the more uneven the higher the skew; those in `down` are passed over while others are left.
-pub fn entry(
+pub fn draw_limiter(
     load: &Load,
     seed: u64,
     a: &Arrival,
@@ -246,7 +246,7 @@
     let normal = Normal::new(0.0, load.skew).expect("a checked skew is finite");
     let spread = a.spread.clamp(1, limiters);
     let set: Vec<(u32, f64)> =
-        (0..spread).map(|n| ((a.first + n) % limiters, normal.sample(weights).exp())).collect();
+        (0..spread).map(|n| ((a.first_limiter + n) % limiters, normal.sample(weights).exp())).collect();
     let up = |n: u32| !down[n as usize];
     let any_up = set.iter().any(|(n, _)| up(*n));
     let usable = |n: u32| up(n) || !any_up;
--- a/crates/model/src/demand/tests.rs
+++ b/crates/model/src/demand/tests.rs
@@ -41,9 +41,9 @@
 fn known_units_bound_the_work_that_is_drawn() {
     let fleet = crate::tests_support::sample();
     let (class, rng) = (&fleet.classes[0], &mut stream(5, Concern::Work, 0));
-    let work = Work::new(class, 2.0);
+    let work = WorkDistribution::new(class, 2.0);
     for units in [1.0, 2.0, 3.0] {
-        let drawn = work.draw_given(rng, class, 4, units, 2.0) / 2.0;
-        assert_eq!(units_of(drawn, class, 4), units);
+        let drawn = work.draw_for_units(rng, class, 4, units, 2.0) / 2.0;
+        assert_eq!(units_for_work(drawn, class, 4), units);
     }
 }
--- a/crates/model/src/faults.rs
+++ b/crates/model/src/faults.rs
@@ -8,11 +8,11 @@
 /// A change of the runtime configuration of all limiters at one moment: from then on the plans and classes are those
 /// of `rules`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RulesChange {
+pub struct ConfigurationChange {
     /// The moment, from the beginning of the load.
     pub at: Micros,
     /// The fleet with the new plans and classes.
-    pub rules: Fleet,
+    pub fleet: Fleet,
 }
 
 /// A fault. `at` is counted from the beginning of a run.
--- a/crates/model/src/gauges.rs
+++ b/crates/model/src/gauges.rs
@@ -9,13 +9,13 @@
     /// Busy share of the cores of backends that run, 0 to 1.
     pub cores: f64,
     /// Busy share of the cores of the busiest backend, 0 to 1.
-    pub busiest_worker: f64,
+    pub busiest_backend: f64,
     /// Used share of the backends' queues, 0 to 1.
-    pub waiting: f64,
+    pub queue_use: f64,
     /// Used share of the fullest queue, 0 to 1.
-    pub fullest_room: f64,
+    pub fullest_queue: f64,
     /// Requests that backends rejected as full.
-    pub turned_away: u64,
+    pub backend_rejections: u64,
     /// Calls to the counter as a share of its rate.
     pub counter: f64,
     /// Calls to the counter not answered in time.
@@ -25,15 +25,15 @@
     /// Sockets of the limiter that has the most, as a share of its descriptors.
     pub limiter_sockets: f64,
     /// Tries that limiters received.
-    pub taken: u64,
+    pub received: u64,
     /// Tries that limiters rejected.
-    pub refused: u64,
+    pub rejected: u64,
     /// Tries that limiters answered with an error.
     pub failed: u64,
     /// Attempts sent to each zone.
-    pub sends: Vec<u64>,
+    pub attempts_by_zone: Vec<u64>,
     /// Backends that serve.
-    pub workers_up: u32,
+    pub backends_up: u32,
 }
 
 /// The mean of the highest twentieth of a figure over a run: high enough to show a peak, and no single second.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -25,9 +25,9 @@
 mod sim;
 pub mod streams;
 
-pub use faults::{Fault, RulesChange};
+pub use faults::{ConfigurationChange, Fault};
 pub use sim::{
-    attempt_noise, backend_speeds, run, run_observed, Conservation, ObservedOutcome, ObservedRequest,
+    attempt_noise, backend_speeds, run, run_observed, ObservedOutcome, ObservedRequest, RunCounts,
     RunOutcome, Scenario, Step, REPEAT_WORK,
 };
 
--- a/crates/model/src/score.rs
+++ b/crates/model/src/score.rs
@@ -89,14 +89,14 @@
 /// Counts of a class's first tries inside quotas that limiters let through: what the fleet has to answer,
 /// whatever the limiters' quota slices reject.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct InTime {
+pub struct InTimeCounts {
     /// First tries let through.
     pub let_through: u64,
     /// Those of them answered in time.
     pub in_time: u64,
 }
 
-impl InTime {
+impl InTimeCounts {
     /// The one over the other; 1 where nothing was let through.
     pub fn share(&self) -> f64 {
         if self.let_through > 0 {
@@ -120,13 +120,13 @@
     pub plans: Vec<ValueServed>,
     /// First tries let through, and those of them answered within their class's latency objective, counted from
     /// the try that was answered, by class.
-    pub in_time: Vec<InTime>,
+    pub in_time: Vec<InTimeCounts>,
     /// Latency of served tries, each from its own send, by class.
     pub latency: Vec<Histogram<u64>>,
     /// The value served by second of the first try.
     pub seconds: Vec<ValueServed>,
     /// `in_time` by second of the first try, by class.
-    pub in_time_seconds: Vec<Vec<InTime>>,
+    pub in_time_seconds: Vec<Vec<InTimeCounts>>,
     /// Units forwarded inside quotas.
     pub units_inside: f64,
     /// Units forwarded beyond quotas.
@@ -150,9 +150,9 @@
 /// The worst window of a class over runs that begin alike, pooled second by second: what was let through and in
 /// time there, and the second at which it begins. Runs shorter than a window count whole; nothing where no window
 /// tells enough.
-pub fn worst_in_time(scores: &[&Score], class: usize) -> (InTime, u64) {
+pub fn worst_in_time(scores: &[&Score], class: usize) -> (InTimeCounts, u64) {
     let length = scores.iter().map(|s| s.in_time_seconds.len()).max().unwrap_or(0);
-    let mut seconds = vec![InTime::default(); length];
+    let mut seconds = vec![InTimeCounts::default(); length];
     for score in scores {
         for (sum, second) in seconds.iter_mut().zip(&score.in_time_seconds) {
             sum.let_through += second[class].let_through;
@@ -160,13 +160,13 @@
         }
     }
     let window = ((WINDOW / SECOND) as usize).min(length).max(1);
-    let mut found = (InTime::default(), 0);
+    let mut found = (InTimeCounts::default(), 0);
     for (from, part) in seconds.windows(window).enumerate() {
-        let add = |sum: InTime, s: &InTime| InTime {
+        let add = |sum: InTimeCounts, s: &InTimeCounts| InTimeCounts {
             let_through: sum.let_through + s.let_through,
             in_time: sum.in_time + s.in_time,
         };
-        let sum = part.iter().fold(InTime::default(), add);
+        let sum = part.iter().fold(InTimeCounts::default(), add);
         if sum.let_through >= LEAST_IN_WINDOW && sum.share() < found.0.share() {
             found = (sum, from as u64);
         }
@@ -236,7 +236,7 @@
                 worst_window: 1.0,
                 classes: vec![ValueServed::default(); classes],
                 plans: vec![ValueServed::default(); plans],
-                in_time: vec![InTime::default(); classes],
+                in_time: vec![InTimeCounts::default(); classes],
                 latency: (0..classes).map(|_| histogram()).collect(),
                 seconds: Vec::new(),
                 in_time_seconds: Vec::new(),
@@ -256,7 +256,7 @@
         let second = (at.saturating_sub(self.start) / SECOND) as usize;
         if self.score.seconds.len() <= second {
             self.score.seconds.resize(second + 1, ValueServed::default());
-            let none = vec![InTime::default(); self.classes.len()];
+            let none = vec![InTimeCounts::default(); self.classes.len()];
             self.score.in_time_seconds.resize(second + 1, none);
         }
         second
@@ -292,7 +292,7 @@
     }
 
     /// Quotas are those of `fleet` from now on. Token buckets keep their levels, up to the new capacity.
-    pub fn on_rules_change(&mut self, fleet: &Fleet) {
+    pub fn on_configuration_change(&mut self, fleet: &Fleet) {
         self.plans = plan_terms(fleet);
     }
 
@@ -322,7 +322,7 @@
     }
 
     /// A try of `id` was within its customer's quota slice and yet never sent, for want of capacity behind.
-    pub fn record_crowded_out(&mut self, id: u64) {
+    pub fn record_capacity_shortage(&mut self, id: u64) {
         let Some(open) = self.open.get_mut(&id).filter(|o| o.inside) else { return };
         let asked = open.asked;
         if !std::mem::replace(&mut open.counted, true) {
--- a/crates/model/src/score/tests.rs
+++ b/crates/model/src/score/tests.rs
@@ -17,7 +17,7 @@
     scorer.record_served(2, 500_000);
     let score = scorer.finish();
     assert_eq!((score.overall.asked, score.overall.in_time), (2.0 * 1.5, 1.5));
-    assert_eq!(score.in_time[0], InTime { let_through: 2, in_time: 1 });
+    assert_eq!(score.in_time[0], InTimeCounts { let_through: 2, in_time: 1 });
     assert_eq!((score.units_inside, score.units_beyond), (6.0, 3.0));
     assert!((score.overrun_cost - 0.6 * 1.5).abs() < 1e-9);
 }
--- a/crates/model/src/sim/attempts.rs
+++ b/crates/model/src/sim/attempts.rs
@@ -56,8 +56,8 @@
         let zone = self.locations[backend as usize].zone;
         let is_reused = self.reuse_connection(number, backend);
         let attempt = self.push_attempt(number, request, backend, timeout, !is_reused);
-        self.current_second.sends.resize(self.fleet.zones.len(), 0);
-        self.current_second.sends[zone] += 1;
+        self.current_second.attempts_by_zone.resize(self.fleet.zones.len(), 0);
+        self.current_second.attempts_by_zone[zone] += 1;
         self.at(self.attempts[attempt as usize].deadline, Event::AttemptTimesOut { attempt });
         let delay = self.one_way_delay(number, zone);
         let host = &self.backends[backend as usize];
--- a/crates/model/src/sim/backends.rs
+++ b/crates/model/src/sim/backends.rs
@@ -7,7 +7,7 @@
 
 use super::events::Event;
 use super::World;
-use crate::backend::{FinishedJob, Job, Offer, SimulatedBackend};
+use crate::backend::{Admission, FinishedJob, Job, SimulatedBackend};
 use crate::gauges::Second;
 use crate::streams::{stream, Concern, Stream};
 
@@ -99,7 +99,7 @@
 
 /// The speeds of a fleet's backends: drawn once from its seed, the same in the model and in rehearsals.
 pub fn backend_speeds(fleet: &Fleet, seed: u64) -> Vec<f64> {
-    let mut rng = stream(seed, Concern::Workers, SPEED_STREAM);
+    let mut rng = stream(seed, Concern::Backends, SPEED_STREAM);
     let draw = |location: &BackendLocation| {
         let kind = &fleet.backend_kinds[location.kind];
         let spread = Normal::new(1.0, kind.speed_cv).expect("a checked spread is finite");
@@ -114,7 +114,7 @@
     }
 
     pub(super) fn start_backends(&mut self) {
-        let mut rng = stream(self.seed, Concern::Workers, PHASE_STREAM);
+        let mut rng = stream(self.seed, Concern::Backends, PHASE_STREAM);
         for (index, speed) in backend_speeds(self.fleet, self.seed).into_iter().enumerate() {
             let backend = index as u32;
             let kind = self.kind_of(backend);
@@ -160,13 +160,13 @@
         self.advance_backend(backend);
         let process = self.backends[backend as usize].process.as_mut().expect("it runs");
         match process.offer(Job { id: u64::from(index), work, expires: deadline }) {
-            Offer::Begun | Offer::Waits => self.schedule_wakeup(backend),
-            Offer::Full => {
-                self.current_second.turned_away += 1;
+            Admission::Started | Admission::Queued => self.schedule_wakeup(backend),
+            Admission::QueueFull => {
+                self.current_second.backend_rejections += 1;
                 self.send_back(index, Outcome::Rejected, self.now);
             }
-            Offer::Fell => {
-                self.conservation.fallen += 1;
+            Admission::Crashed => {
+                self.counts.backend_crashes += 1;
                 self.kill_backend(backend);
             }
         }
@@ -213,9 +213,10 @@
             process.advance(self.now, &mut finished);
         }
         let error_share = self.kind_of(backend).error_share;
-        for FinishedJob { id, at, worked } in finished {
-            let has_error = worked && error_share > 0.0 && self.attempt_draws.random::<f64>() < error_share;
-            let outcome = match (worked, has_error) {
+        for FinishedJob { id, at, is_completed } in finished {
+            let has_error =
+                is_completed && error_share > 0.0 && self.attempt_draws.random::<f64>() < error_share;
+            let outcome = match (is_completed, has_error) {
                 (true, false) => Outcome::Ok,
                 (true, true) => Outcome::Error,
                 (false, _) => Outcome::Rejected,
@@ -241,7 +242,7 @@
         let host = &mut self.backends[backend as usize];
         host.wakeup += 1;
         let wakeup = host.wakeup;
-        if let Some(at) = host.process.as_ref().and_then(SimulatedBackend::next) {
+        if let Some(at) = host.process.as_ref().and_then(SimulatedBackend::next_event_at) {
             self.at(at, Event::BackendDue { backend, wakeup });
         }
     }
@@ -363,17 +364,17 @@
             let Some(process) = host.process.as_ref().filter(|_| !host.is_silent) else { continue };
             let own_busy = (process.busy() - host.busy_before) / 1e6;
             host.busy_before = process.busy();
-            let own_queued = process.in_work_and_queued().1 as f64;
+            let own_queued = process.running_and_queued().1 as f64;
             busy += own_busy;
             cores += f64::from(kind.cores);
             queued += own_queued;
             queue_capacity += f64::from(kind.queue_capacity);
-            second.workers_up += 1;
-            second.busiest_worker = second.busiest_worker.max(own_busy / f64::from(kind.cores));
+            second.backends_up += 1;
+            second.busiest_backend = second.busiest_backend.max(own_busy / f64::from(kind.cores));
             let fullness = own_queued / f64::from(kind.queue_capacity.max(1));
-            second.fullest_room = second.fullest_room.max(fullness);
+            second.fullest_queue = second.fullest_queue.max(fullness);
         }
         second.cores = if cores > 0.0 { busy / cores } else { 0.0 };
-        second.waiting = if queue_capacity > 0.0 { queued / queue_capacity } else { 0.0 };
+        second.queue_use = if queue_capacity > 0.0 { queued / queue_capacity } else { 0.0 };
     }
 }
--- a/crates/model/src/sim/clients.rs
+++ b/crates/model/src/sim/clients.rs
@@ -6,7 +6,7 @@
 
 use super::events::Event;
 use super::{World, START};
-use crate::demand::{entry, Arrival};
+use crate::demand::{draw_limiter, Arrival};
 use crate::score::FirstTry;
 
 /// A final answer on its way to a client.
@@ -28,7 +28,7 @@
     /// The first try's index in the demand.
     pub arrival: u32,
     /// Whether it is a retry.
-    pub retry: bool,
+    pub is_retry: bool,
     /// When its client sent it.
     pub sent_at: Micros,
     /// The limiter that it was sent to.
@@ -52,7 +52,7 @@
     /// Whether an attempt reached a backend whole.
     pub is_forwarded: bool,
     /// Whether the limiter's last call to the counter had been answered when it came.
-    pub counter_answers: bool,
+    pub is_counter_answering: bool,
 }
 
 impl World<'_> {
@@ -61,7 +61,7 @@
         let index = self.next_arrival;
         let &Arrival { class, plan, customer, units, .. } = &demand.arrivals[index];
         self.scorer.record_first_try(index as u64, FirstTry { at: self.now, class, plan, customer, units });
-        self.conservation.first_tries += 1;
+        self.counts.first_tries += 1;
         self.send_try(index as u32, false);
         self.next_arrival += 1;
         if let Some(next) = demand.arrivals.get(self.next_arrival) {
@@ -71,20 +71,20 @@
 
     pub(super) fn send_client_retry(&mut self, request: u32) {
         let arrival = self.tries[request as usize].arrival;
-        self.conservation.retries += 1;
+        self.counts.retries += 1;
         self.scorer.record_retry(u64::from(arrival), self.now);
         self.send_try(arrival, true);
     }
 
-    fn send_try(&mut self, arrival: u32, retry: bool) {
+    fn send_try(&mut self, arrival: u32, is_retry: bool) {
         let demanded = self.demand.arrivals[arrival as usize];
         let limiters = self.limiters.len() as u32;
         let (load, seed, now) = (&self.fleet.load, self.seed, self.now);
-        let limiter = entry(load, seed, &demanded, now, limiters, &self.known_down, &mut self.clients);
+        let limiter = draw_limiter(load, seed, &demanded, now, limiters, &self.known_down, &mut self.clients);
         let request = self.tries.len() as u32;
         self.tries.push(Try {
             arrival,
-            retry,
+            is_retry,
             sent_at: now,
             limiter,
             patience: demanded.timeout,
@@ -96,7 +96,7 @@
             is_done: false,
             attempts: Vec::new(),
             is_forwarded: false,
-            counter_answers: true,
+            is_counter_answering: true,
         });
         let delay = self.jittered(self.fleet.delays.client);
         self.at(now + delay, Event::AtLimiter { request });
@@ -133,7 +133,7 @@
         let client_try = &self.tries[request as usize];
         // Both are drawn for every try, so that one setting does not move the draws of the other.
         let (retry_draw, honour_draw) = (self.clients.random::<f64>(), self.clients.random::<f64>());
-        if client_try.retry || retry_draw >= clients.retries {
+        if client_try.is_retry || retry_draw >= clients.retries {
             self.scorer.record_closed(u64::from(client_try.arrival));
             return;
         }
--- a/crates/model/src/sim/counter_calls.rs
+++ b/crates/model/src/sim/counter_calls.rs
@@ -84,7 +84,7 @@
         if limiter.incarnation != incarnation || limiter.calls.remove(&serial).is_none() {
             return false;
         }
-        limiter.counter_answers = is_answered;
+        limiter.is_counter_answering = is_answered;
         self.current_second.counter_unanswered += u64::from(!is_answered);
         true
     }
--- a/crates/model/src/sim/events.rs
+++ b/crates/model/src/sim/events.rs
@@ -49,7 +49,7 @@
     /// A backend renews its load report.
     LoadReport { backend: u32 },
     /// A change of the runtime configuration becomes active.
-    RulesChange { change: u32 },
+    ConfigurationChange { change: u32 },
     /// A fault begins.
     FaultBegins { fault: u32 },
     /// A fault ends.
@@ -89,7 +89,7 @@
             Event::LoadBalancerLearns { limiter, .. } => (20, u64::from(*limiter)),
             Event::CounterBack => (21, 0),
             Event::Gauge => (22, 0),
-            Event::RulesChange { change } => (23, u64::from(*change)),
+            Event::ConfigurationChange { change } => (23, u64::from(*change)),
         };
         subject << KIND_BITS | kind
     }
--- a/crates/model/src/sim/faults.rs
+++ b/crates/model/src/sim/faults.rs
@@ -88,7 +88,7 @@
     /// The counter runs again, empty, unless another loss goes on.
     pub(super) fn on_counter_back(&mut self) {
         if self.counter_lost_until.is_some_and(|until| until <= self.now) {
-            self.counter.empty();
+            self.counter.clear();
             self.counter_lost_until = None;
         }
     }
--- a/crates/model/src/sim/limiters.rs
+++ b/crates/model/src/sim/limiters.rs
@@ -50,7 +50,7 @@
     pub(super) calls: BTreeMap<u64, u64>,
     pub(super) last_serial: u64,
     /// Whether the last call to the counter was answered.
-    pub(super) counter_answers: bool,
+    pub(super) is_counter_answering: bool,
 }
 
 /// Makes the classes and plans of `fleet` those of limiter `number`.
@@ -65,8 +65,8 @@
     /// A version becomes active at all limiters; one that is down has it when it returns.
     pub(super) fn activate_change(&mut self, change: u32) {
         self.active_changes = change as usize + 1;
-        let fleet = self.changes[change as usize].rules.clone();
-        self.scorer.on_rules_change(&fleet);
+        let fleet = self.changes[change as usize].fleet.clone();
+        self.scorer.on_configuration_change(&fleet);
         for (number, limiter) in self.limiters.iter_mut().enumerate() {
             limiter.indices = adopt_version(&mut limiter.decisions, &fleet, number as u32);
         }
@@ -84,7 +84,7 @@
         let (settings, _) = platform::settings(self.fleet, number);
         let seed = mix_bits(self.seed ^ mix_bits(u64::from(number) << 32 | u64::from(incarnation)));
         let mut decisions = Limiter::new(settings, seed).expect("a checked fleet has usable settings");
-        let active = self.active_changes.checked_sub(1).map(|change| &self.changes[change].rules);
+        let active = self.active_changes.checked_sub(1).map(|change| &self.changes[change].fleet);
         let indices = adopt_version(&mut decisions, active.unwrap_or(self.fleet), number);
         SimulatedLimiter {
             decisions,
@@ -102,7 +102,7 @@
             endpoints_version: 0,
             calls: BTreeMap::new(),
             last_serial: 0,
-            counter_answers: true,
+            is_counter_answering: true,
         }
     }
 
@@ -134,7 +134,7 @@
             }
             client_try.is_open = false;
             client_try.is_answered = true;
-            self.conservation.lost += 1;
+            self.counts.lost += 1;
             if !is_silent {
                 let delay = self.jittered(self.fleet.delays.client);
                 let request = request as u32;
--- a/crates/model/src/sim/mod.rs
+++ b/crates/model/src/sim/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::counter::Counter;
 use crate::demand::Demand;
-use crate::faults::{Fault, RulesChange};
+use crate::faults::{ConfigurationChange, Fault};
 use crate::gauges::Second;
 use crate::score::{Scorer, SECOND};
 use crate::streams::{mix_bits, stream, Concern, Stream};
@@ -31,7 +31,7 @@
 use limiters::SimulatedLimiter;
 
 pub use backends::{attempt_noise, backend_speeds, REPEAT_WORK};
-pub use outcome::{Conservation, ObservedOutcome, ObservedRequest, RunOutcome};
+pub use outcome::{ObservedOutcome, ObservedRequest, RunCounts, RunOutcome};
 pub use scenario::{Scenario, Step};
 
 /// Clients come once all limiters know the fleet: this long after the clocks begin.
@@ -41,7 +41,7 @@
     fleet: &'a Fleet,
     demand: &'a Demand,
     faults: Vec<Fault>,
-    changes: Vec<RulesChange>,
+    changes: Vec<ConfigurationChange>,
     /// How many of the changes are active.
     active_changes: usize,
     record: bool,
@@ -74,7 +74,7 @@
     seconds: Vec<Second>,
     current_second: Second,
     counter_calls_before: u64,
-    conservation: Conservation,
+    counts: RunCounts,
     observed: Vec<ObservedRequest>,
     observer: &'a mut dyn FnMut(&Step<'_>),
 }
@@ -132,13 +132,13 @@
             limiter_zones,
             network: stream(seed, Concern::Network, 0),
             clients: stream(seed, Concern::Clients, u64::MAX),
-            discovery: stream(seed, Concern::Roster, 0),
+            discovery: stream(seed, Concern::Discovery, 0),
             attempt_draws: stream(seed, Concern::Attempts, 0),
             scorer: Scorer::new(fleet, START),
             seconds: Vec::new(),
             current_second: Second::default(),
             counter_calls_before: 0,
-            conservation: Conservation::default(),
+            counts: RunCounts::default(),
             observed: Vec::new(),
             observer,
         }
@@ -152,7 +152,7 @@
             self.at(START + fault.ends_at(), Event::FaultEnds { fault: index });
         }
         for (index, change) in scenario.changes.iter().enumerate() {
-            self.at(START + change.at, Event::RulesChange { change: index as u32 });
+            self.at(START + change.at, Event::ConfigurationChange { change: index as u32 });
         }
         if let Some(first) = scenario.demand.arrivals.first() {
             self.at(START + first.at, Event::FirstTry);
@@ -198,7 +198,7 @@
                 self.on_endpoint_changed(limiter, backend, version);
             }
             Event::LoadReport { backend } => self.renew_load_report(backend),
-            Event::RulesChange { change } => self.activate_change(change),
+            Event::ConfigurationChange { change } => self.activate_change(change),
             Event::FaultBegins { fault } => self.begin_fault(fault),
             Event::FaultEnds { fault } => self.end_fault(fault),
             Event::LoadBalancerLearns { limiter, is_down, incarnation } => {
@@ -237,7 +237,7 @@
         let (calls, _) = self.counter.calls();
         second.counter = (calls - self.counter_calls_before) as f64 / self.fleet.counter.calls_per_second;
         self.counter_calls_before = calls;
-        second.sends.resize(self.fleet.zones.len(), 0);
+        second.attempts_by_zone.resize(self.fleet.zones.len(), 0);
         if self.now <= self.end {
             self.seconds.push(second);
         }
@@ -247,13 +247,12 @@
     }
 
     fn finish(mut self) -> RunOutcome {
-        self.conservation.unanswered =
-            self.tries.iter().filter(|client_try| client_try.is_open).count() as u64;
-        self.conservation.attempts = self.attempts.len() as u64;
+        self.counts.unanswered = self.tries.iter().filter(|client_try| client_try.is_open).count() as u64;
+        self.counts.attempts = self.attempts.len() as u64;
         RunOutcome {
             score: self.scorer.finish(),
             seconds: self.seconds,
-            conservation: self.conservation,
+            counts: self.counts,
             observed: self.observed,
             digest: self.digest,
             events: self.queue.scheduled(),
--- a/crates/model/src/sim/outcome.rs
+++ b/crates/model/src/sim/outcome.rs
@@ -36,11 +36,11 @@
     /// How many limiters its customer comes through.
     pub spread: u32,
     /// The first of these.
-    pub first: u32,
+    pub first_limiter: u32,
     /// How long its client still waited.
     pub timeout: Micros,
     /// Whether it is a client's retry.
-    pub retry: bool,
+    pub is_retry: bool,
     /// The same for a first try and its retry, as an idempotency key is.
     pub key: u64,
     /// How it ended.
@@ -52,22 +52,22 @@
     /// How many attempts were made.
     pub attempts: u32,
     /// Whether the limiter's last call to the counter had been answered when the try came.
-    pub counter_answers: bool,
+    pub is_counter_answering: bool,
 }
 
 /// Counts of tries by how they ended: every try is counted once when sent and once when ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Conservation {
+pub struct RunCounts {
     /// First tries that clients sent.
     pub first_tries: u64,
     /// Retries that clients sent.
     pub retries: u64,
     /// Tries that reached a limiter that ran.
-    pub taken: u64,
+    pub received: u64,
     /// Tries answered with a backend's answer.
     pub served: u64,
     /// Tries answered with a rejection.
-    pub refused: u64,
+    pub rejected: u64,
     /// Tries answered with an error.
     pub failed: u64,
     /// Tries whose client went away first.
@@ -81,7 +81,7 @@
     /// Attempts that limiters made.
     pub attempts: u64,
     /// Backends that failed under load while warming up.
-    pub fallen: u64,
+    pub backend_crashes: u64,
 }
 
 /// What came of a run.
@@ -92,7 +92,7 @@
     /// How busy each resource was, by second.
     pub seconds: Vec<Second>,
     /// Counts of all tries.
-    pub conservation: Conservation,
+    pub counts: RunCounts,
     /// What limiters received and answered, where the scenario asks for it.
     pub observed: Vec<ObservedRequest>,
     /// A hash over every event in order: two runs with the same digest were the same run.
--- a/crates/model/src/sim/requests.rs
+++ b/crates/model/src/sim/requests.rs
@@ -27,9 +27,9 @@
         client_try.is_open = true;
         client_try.received_at = self.now;
         client_try.incarnation = limiter.incarnation;
-        client_try.counter_answers = limiter.counter_answers;
-        self.conservation.taken += 1;
-        self.current_second.taken += 1;
+        client_try.is_counter_answering = limiter.is_counter_answering;
+        self.counts.received += 1;
+        self.current_second.received += 1;
         let deadline = client_try.sent_at + client_try.patience;
         let received = Request {
             id: u64::from(request),
@@ -45,7 +45,7 @@
 
     /// A dead process refuses the connection; a silent machine says nothing.
     fn refuse_connection(&mut self, request: u32, number: u32) {
-        self.conservation.unreached += 1;
+        self.counts.unreached += 1;
         if !self.is_zone_silent(self.limiter_zones[number as usize]) {
             let delay = self.jittered(self.fleet.delays.client);
             self.at(self.now + delay, Event::AtClient { request, answer: Answer::Failed });
@@ -77,7 +77,7 @@
         // A request beyond its customer's quota slice is rejected the moment it is handled; others waited for capacity.
         let has_waited = client_try.handled_at < self.now;
         if !client_try.is_forwarded && answer != Answer::Served && has_waited {
-            self.scorer.record_crowded_out(u64::from(client_try.arrival));
+            self.scorer.record_capacity_shortage(u64::from(client_try.arrival));
         }
         let last_attempt = client_try.attempts.last();
         let backend = last_attempt.map(|attempt| self.attempts[*attempt as usize].backend);
@@ -101,12 +101,12 @@
     }
 
     fn count(&mut self, outcome: ObservedOutcome) {
-        let counts = &mut self.conservation;
+        let counts = &mut self.counts;
         match outcome {
             ObservedOutcome::Served => counts.served += 1,
             ObservedOutcome::Rejected => {
-                counts.refused += 1;
-                self.current_second.refused += 1;
+                counts.rejected += 1;
+                self.current_second.rejected += 1;
             }
             ObservedOutcome::Failed => {
                 counts.failed += 1;
@@ -133,15 +133,15 @@
             customer: arrival.customer,
             units: arrival.units,
             spread: arrival.spread,
-            first: arrival.first,
+            first_limiter: arrival.first_limiter,
             timeout: deadline.saturating_sub(client_try.received_at),
-            retry: client_try.retry,
+            is_retry: client_try.is_retry,
             key: mix_bits(self.seed ^ u64::from(client_try.arrival)),
             outcome,
             latency: self.now - client_try.received_at,
             backend,
             attempts: client_try.attempts.len() as u32,
-            counter_answers: client_try.counter_answers,
+            is_counter_answering: client_try.is_counter_answering,
         }
     }
 }
--- a/crates/model/src/sim/scenario.rs
+++ b/crates/model/src/sim/scenario.rs
@@ -3,7 +3,7 @@
 use sedgestack_fleet::{Fleet, Micros};
 
 use crate::demand::Demand;
-use crate::faults::{Fault, RulesChange};
+use crate::faults::{ConfigurationChange, Fault};
 
 /// What a run is made of.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     /// What goes wrong.
     pub faults: Vec<Fault>,
     /// Changes of the runtime configuration, in order of time.
-    pub changes: Vec<RulesChange>,
+    pub changes: Vec<ConfigurationChange>,
     /// Whether what limiters received and answered is recorded
     /// ([`RunOutcome::observed`](crate::RunOutcome::observed)).
     pub record: bool,
--- a/crates/model/src/streams.rs
+++ b/crates/model/src/streams.rs
@@ -23,13 +23,13 @@
     /// Retries of clients, and the limiters that they come through.
     Clients,
     /// Delays of service discovery.
-    Roster,
+    Discovery,
     /// Speeds of backends, and the phases of their load reports.
-    Workers,
+    Backends,
     /// Which backends a fault hits.
     Faults,
     /// What limiters draw.
-    Gateways,
+    Limiters,
     /// Copies of captured requests.
     Resampling,
 }
--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::{Config, RngSeed};
 use rayon::prelude::*;
 use sedgestack_fleet::Fleet;
-use sedgestack_model::{demand, run, Fault, ObservedOutcome, RulesChange, RunOutcome, Scenario};
+use sedgestack_model::{demand, run, ConfigurationChange, Fault, ObservedOutcome, RunOutcome, Scenario};
 
 const SECOND: u64 = 1_000_000;
 
@@ -24,12 +24,12 @@
 
 /// Every first try is there, and every try that a limiter took has one final answer.
 fn conserved(outcome: &RunOutcome, first_tries: usize) -> Result<(), TestCaseError> {
-    let c = &outcome.conservation;
+    let c = &outcome.counts;
     prop_assert_eq!(c.first_tries as usize, first_tries);
-    prop_assert_eq!(c.first_tries + c.retries, c.taken + c.unreached);
-    prop_assert_eq!(c.taken, c.served + c.refused + c.failed + c.abandoned + c.lost);
+    prop_assert_eq!(c.first_tries + c.retries, c.received + c.unreached);
+    prop_assert_eq!(c.received, c.served + c.rejected + c.failed + c.abandoned + c.lost);
     prop_assert_eq!(c.unanswered, 0);
-    prop_assert_eq!(outcome.observed.len() as u64, c.taken - c.lost);
+    prop_assert_eq!(outcome.observed.len() as u64, c.received - c.lost);
     Ok(())
 }
 
@@ -83,7 +83,7 @@
     let outcome = play(&fleet, &[], 3);
     assert!(outcome.score.in_time[0].share() > 0.97, "{:?}", outcome.score.in_time);
     assert!(outcome.score.overall.share() > 0.9, "{:?}", outcome.score.overall);
-    assert_eq!(outcome.conservation.fallen, 0);
+    assert_eq!(outcome.counts.backend_crashes, 0);
 }
 
 #[test]
@@ -102,13 +102,14 @@
     let fleet = sample(30);
     let lost = Fault::ZoneLost { at: 8 * SECOND, span: 8 * SECOND, zone: 1, limiters: false, silent: false };
     let outcome = play(&fleet, &[lost], 5);
-    let sends =
-        |from: usize, to: usize| -> u64 { outcome.seconds[from..to].iter().map(|s| s.sends[1]).sum() };
+    let sends = |from: usize, to: usize| -> u64 {
+        outcome.seconds[from..to].iter().map(|s| s.attempts_by_zone[1]).sum()
+    };
     assert!(sends(0, 8) > 50, "{}", sends(0, 8));
     // Limiters are notified within 3.2 s; from then on nothing is sent there.
     assert_eq!(sends(12, 16), 0);
     assert!(sends(22, 30) > 50, "{}", sends(22, 30));
-    assert_eq!(outcome.seconds[12].workers_up, 7);
+    assert_eq!(outcome.seconds[12].backends_up, 7);
 }
 
 /// Limiters are notified of a dead process within 3.2 s, and of a silent machine after 8 s at the earliest.
@@ -118,7 +119,7 @@
     let tried = |silent| -> u64 {
         let lost = Fault::ZoneLost { at: 5 * SECOND, span: 12 * SECOND, zone: 0, limiters: false, silent };
         let outcome = play(&fleet, &[lost], 1);
-        outcome.seconds[9..12].iter().map(|s| s.sends[0]).sum()
+        outcome.seconds[9..12].iter().map(|s| s.attempts_by_zone[0]).sum()
     };
     assert_eq!(tried(false), 0);
     assert!(tried(true) > 0);
@@ -139,8 +140,8 @@
     fleet.load.rate *= 2.5;
     fleet.clients.retries = 1.0;
     let outcome = play(&fleet, &[], 1);
-    let retries = outcome.observed.iter().filter(|s| s.retry).count() as u64;
-    assert!(retries > 100 && retries <= outcome.conservation.retries);
+    let retries = outcome.observed.iter().filter(|s| s.is_retry).count() as u64;
+    assert!(retries > 100 && retries <= outcome.counts.retries);
     let asked: f64 = outcome.score.asked_units.iter().map(|(a, b)| a + b).sum();
     let demand = demand::draw(&fleet, 1);
     let first: f64 = demand.arrivals.iter().map(|a| a.units).sum();
@@ -155,8 +156,8 @@
     tenth.plans[2].rate /= 10.0;
     let demand = demand::draw(&fleet, 4);
     let changes = vec![
-        RulesChange { at: 12 * SECOND, rules: tenth },
-        RulesChange { at: 22 * SECOND, rules: fleet.clone() },
+        ConfigurationChange { at: 12 * SECOND, fleet: tenth },
+        ConfigurationChange { at: 22 * SECOND, fleet: fleet.clone() },
     ];
     let scenario = Scenario { changes, record: true, ..Scenario::new(&fleet, &demand) };
     let outcome = run(&scenario, 4);
--- a/crates/plan/src/evaluate.rs
+++ b/crates/plan/src/evaluate.rs
@@ -109,8 +109,8 @@
         Figures {
             cores_peak: gauges::peak(seconds, |second| second.cores),
             turned_away: ratio(
-                sum(&|second| second.turned_away as f64),
-                outcome.conservation.attempts as f64,
+                sum(&|second| second.backend_rejections as f64),
+                outcome.counts.attempts as f64,
             ),
             counter_peak: gauges::peak(seconds, |second| second.counter),
             counter_unanswered: ratio(sum(&|second| second.counter_unanswered as f64), calls),
@@ -215,8 +215,8 @@
         limiter_sockets_peak: figure(&|figures| figures.limiter_sockets_peak),
         beyond_quota: (0..plans).map(|plan| figure(&|figures| figures.beyond_quota[plan])).collect(),
         overspent: each(&|outcome| overspent(&outcome.score)),
-        fallen: outcomes.iter().map(|outcome| outcome.conservation.fallen).sum(),
-        first_tries: outcomes.iter().map(|outcome| outcome.conservation.first_tries).sum(),
+        fallen: outcomes.iter().map(|outcome| outcome.counts.backend_crashes).sum(),
+        first_tries: outcomes.iter().map(|outcome| outcome.counts.first_tries).sum(),
         shares,
         figures,
         by_second: outcomes.iter().map(|outcome| outcome.score.seconds.clone()).collect(),
--- a/crates/plan/src/first_tries.rs
+++ b/crates/plan/src/first_tries.rs
@@ -2,7 +2,7 @@
 
 use sedgestack_capture::{Merged, Outcome, Record};
 use sedgestack_fleet::{Fleet, GrowthBy, Micros};
-use sedgestack_model::demand::{sort, Arrival, Demand, Work};
+use sedgestack_model::demand::{sort_arrivals, Arrival, Demand, WorkDistribution};
 use sedgestack_model::streams::{stream, Concern};
 
 use crate::growth::{copies, grown, jittered};
@@ -140,12 +140,12 @@
                 }
                 let class = &fleet.classes[arrival.class];
                 let scale = scales.at(arrival.class, arrival.at);
-                let work = Work::new(class, scale);
-                arrival.work = work.draw_given(work_rng, class, most_units, arrival.units, scale);
+                let work = WorkDistribution::new(class, scale);
+                arrival.work = work.draw_for_units(work_rng, class, most_units, arrival.units, scale);
                 arrivals.push(arrival);
             }
         }
-        sort(&mut arrivals);
+        sort_arrivals(&mut arrivals);
         grown(arrivals, self.length, growth, by, seed)
     }
 }
@@ -183,7 +183,7 @@
                 units: f64::from(record.units),
                 work: 0.0,
                 spread: u32::from(record.spread).max(1),
-                first: u32::from(record.first),
+                first_limiter: u32::from(record.first),
                 timeout: Micros::from(record.patience_ms).max(1) * 1_000,
             },
             weight,
--- a/crates/plan/src/fit.rs
+++ b/crates/plan/src/fit.rs
@@ -103,7 +103,7 @@
     let runs: Vec<_> = (1..=SEEDS).into_par_iter().map(run_seed).collect();
     let mut answers: Answers = vec![Vec::new(); fleet.classes.len()];
     for request in runs.iter().flatten() {
-        let is_first_attempt = request.attempts == 1 && !request.retry;
+        let is_first_attempt = request.attempts == 1 && !request.is_retry;
         if request.outcome == ObservedOutcome::Served && is_first_attempt {
             answers[request.class].push(Answer { at: request.at, latency: request.latency as f64 });
         }
--- a/crates/plan/src/growth.rs
+++ b/crates/plan/src/growth.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use sedgestack_fleet::{GrowthBy, Micros};
-use sedgestack_model::demand::{sort, Arrival, Demand};
+use sedgestack_model::demand::{sort_arrivals, Arrival, Demand};
 use sedgestack_model::streams::{mix_bits, stream, Concern, Stream};
 
 /// Copies of a customer are moved in time by up to this, microseconds.
@@ -24,7 +24,7 @@
         GrowthBy::Use => repeat_requests(&arrivals, length, growth, seed),
         GrowthBy::Customers => repeat_customers(&arrivals, length, growth, seed),
     };
-    sort(&mut grown);
+    sort_arrivals(&mut grown);
     Demand { arrivals: grown, length }
 }
 
@@ -49,7 +49,12 @@
         for (copy, shift) in shifts.iter().enumerate() {
             let at = (arrival.at as f64 + shift).clamp(0.0, length.saturating_sub(1) as f64) as Micros;
             let customer = if copy > 0 { mix_bits(customer ^ copy as u64) } else { customer };
-            grown.push(Arrival { at, customer, first: arrival.first + copy as u32, ..*arrival });
+            grown.push(Arrival {
+                at,
+                customer,
+                first_limiter: arrival.first_limiter + copy as u32,
+                ..*arrival
+            });
         }
     }
     grown
--- a/crates/plan/src/synth.rs
+++ b/crates/plan/src/synth.rs
@@ -52,7 +52,7 @@
         key: if has_key { hash.of(&request.key.to_le_bytes()) } else { 0 },
         units: request.units as f32,
         spread: request.spread as u16,
-        first: request.first as u16,
+        first: request.first_limiter as u16,
         patience_ms: (request.timeout / 1_000) as u32,
         // Clients of this platform mark no retries.
         retry: false,
@@ -65,7 +65,7 @@
         latency: request.latency.min(u32::MAX.into()) as u32,
         destination: request.backend.map(|backend| backend as u16),
         attempts: request.attempts.min(u8::MAX.into()) as u8,
-        counter: if request.counter_answers { CounterState::Answering } else { CounterState::Silent },
+        counter: if request.is_counter_answering { CounterState::Answering } else { CounterState::Silent },
         source: 0,
         rules: None,
     }
--- a/crates/rehearse/src/backends/machine.rs
+++ b/crates/rehearse/src/backends/machine.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep_until, Instant};
 
 use sedgestack_fleet::{BackendKind, BackendLocation};
-use sedgestack_model::backend::{FinishedJob, Job, Offer, SimulatedBackend};
+use sedgestack_model::backend::{Admission, FinishedJob, Job, SimulatedBackend};
 
 use super::Shared;
 use crate::sync::locked;
@@ -90,7 +90,7 @@
 
     /// When something is due without an order.
     fn wake_at(&self) -> Instant {
-        let job_due = self.backend.next().map(|at| self.shared.origin + Duration::from_micros(at));
+        let job_due = self.backend.next_event_at().map(|at| self.shared.origin + Duration::from_micros(at));
         let report_visible = self.next_report.as_ref().map(|report| report.visible_at);
         [job_due, report_visible].into_iter().flatten().fold(self.report_at, Instant::min)
     }
@@ -98,9 +98,9 @@
     fn finish_jobs(&mut self) {
         let mut finished = Vec::new();
         self.backend.advance(self.shared.now(), &mut finished);
-        for FinishedJob { id, worked, .. } in finished {
+        for FinishedJob { id, is_completed, .. } in finished {
             if let Some(outcome) = self.waiting.remove(&id) {
-                let _ = outcome.send(if worked { JobOutcome::Done } else { JobOutcome::Expired });
+                let _ = outcome.send(if is_completed { JobOutcome::Done } else { JobOutcome::Expired });
             }
         }
     }
@@ -119,13 +119,13 @@
     fn handle(&mut self, order: Order) -> Result<(), Crashed> {
         match order {
             Order::Offer { job, outcome } => match self.backend.offer(job) {
-                Offer::Begun | Offer::Waits => {
+                Admission::Started | Admission::Queued => {
                     self.waiting.insert(job.id, outcome);
                 }
-                Offer::Full => {
+                Admission::QueueFull => {
                     let _ = outcome.send(JobOutcome::QueueFull);
                 }
-                Offer::Fell => {
+                Admission::Crashed => {
                     self.shared.fallen.fetch_add(1, Relaxed);
                     return Err(Crashed);
                 }
--- a/crates/rehearse/src/counter.rs
+++ b/crates/rehearse/src/counter.rs
@@ -39,7 +39,7 @@
 
     /// It answers again, empty.
     pub fn back(&self) {
-        locked(&self.shared.machine).empty();
+        locked(&self.shared.machine).clear();
         self.shared.lost.store(false, Relaxed);
     }
 }
--- a/crates/rehearse/src/discovery.rs
+++ b/crates/rehearse/src/discovery.rs
@@ -127,7 +127,7 @@
         let shared = Arc::new(Shared {
             agents,
             endpoints: Mutex::new(endpoints),
-            draws: Mutex::new(stream(seed, Concern::Roster, 0)),
+            draws: Mutex::new(stream(seed, Concern::Discovery, 0)),
             removal_delay: DelayRange::new(fleet.discovery.notice),
             addition_delay: DelayRange::new(fleet.discovery.add),
         });
--- a/crates/rehearse/src/load_player.rs
+++ b/crates/rehearse/src/load_player.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
 use sedgestack_fleet::{Fleet, Idempotency, Micros};
-use sedgestack_model::demand::{entry, Arrival};
+use sedgestack_model::demand::{draw_limiter, Arrival};
 use sedgestack_model::score::FirstTry;
 use sedgestack_model::streams::{mix_bits, stream, Concern, Stream};
 
@@ -205,14 +205,14 @@
         let limiters = self.daemons.len() as u32;
         let now = self.start.elapsed().as_micros() as Micros;
         let down = vec![false; self.daemons.len()];
-        entry(&self.fleet.load, self.seed, arrival, now, limiters, &down, &mut locked(&self.draws))
+        draw_limiter(&self.fleet.load, self.seed, arrival, now, limiters, &down, &mut locked(&self.draws))
     }
 
     fn request(&self, n: u64, arrival: &Arrival, limiter: u32, id: &str) -> Request<Full<Bytes>> {
         let class = &self.fleet.classes[arrival.class];
         let address = self.daemons[limiter as usize];
         let limiters = self.daemons.len() as u32;
-        let (spread, first) = (arrival.spread.clamp(1, limiters), arrival.first % limiters);
+        let (spread, first) = (arrival.spread.clamp(1, limiters), arrival.first_limiter % limiters);
         let request = Request::builder()
             .uri(format!("http://{address}/{}/{:016x}", class.name, arrival.customer))
             .header("x-request-id", id)
--- a/tests/decisions/model.rs
+++ b/tests/decisions/model.rs
@@ -1,7 +1,7 @@
 //! Runs of the model, whose limiters are real gateways: every step of each of them is recorded.
 
 use sedgestack_fleet::Fleet;
-use sedgestack_model::{demand, run_observed, Fault, RulesChange, Scenario};
+use sedgestack_model::{demand, run_observed, ConfigurationChange, Fault, Scenario};
 
 use crate::recording::{Recorder, Recording};
 
@@ -14,7 +14,7 @@
     checkpoint_every: u64,
     fleet: Fleet,
     faults: Vec<Fault>,
-    changes: Vec<RulesChange>,
+    changes: Vec<ConfigurationChange>,
 }
 
 impl ModelRun {
@@ -57,8 +57,8 @@
     tenth.plans[2].rate /= 10.0;
     tenth.classes[0].latency_objective *= 2;
     let changes = vec![
-        RulesChange { at: 5 * SECOND, rules: tenth },
-        RulesChange { at: 10 * SECOND, rules: sample(16) },
+        ConfigurationChange { at: 5 * SECOND, fleet: tenth },
+        ConfigurationChange { at: 10 * SECOND, fleet: sample(16) },
     ];
     let counter_lost = Fault::CounterLost { at: 3 * SECOND, span: 4 * SECOND };
     let workers_die = Fault::BackendsCrash { at: 3 * SECOND, span: 4 * SECOND, share: 0.3 };
