--- a/crates/model/examples/scale.rs
+++ b/crates/model/examples/scale.rs
@@ -1,6 +1,7 @@
-//! Simulated requests a second on one core, by size: `cargo run --release -p sedgestack-model --example scale`.
+//! Measures how many requests the model simulates per second on one core, for several fleet sizes.
 //!
-//! Load grows with the workers. Prints one line a size; the last column is the process's peak memory so far.
+//! Run it with `cargo run --release -p sedgestack-model --example scale`. The load grows with the number of backends.
+//! Each fleet size gives one line. Its last column is the peak memory of the process so far.
 
 use std::time::Instant;
 
@@ -16,11 +17,11 @@
 
 fn main() {
     let text = include_str!("../../../deploy/fleet-sample.hcl");
-    let sample = Fleet::parse("fleet-sample.hcl", text).expect("the sample has no fault");
+    let sample = Fleet::parse("fleet-sample.hcl", text).expect("the sample fleet file is valid");
     println!(
         "workers limiters simulated_s requests wall_s requests_per_s events_per_s worth_in_time peak_mb"
     );
-    for (workers, limiters, seconds) in [
+    for (backends, limiters, seconds) in [
         (10, 3, 40),
         (10, 10, 40),
         (100, 3, 10),
@@ -29,17 +30,17 @@
         (1_000, 10, 2),
         (1_000, 100, 2),
     ] {
-        let mut fleet = sample.with_backends(workers).with_limiters(limiters);
-        fleet.load.rate = 6.0 * f64::from(workers);
-        fleet.counter.calls_per_second *= f64::from(workers) / 10.0;
+        let mut fleet = sample.with_backends(backends).with_limiters(limiters);
+        fleet.load.rate = 6.0 * f64::from(backends);
+        fleet.counter.calls_per_second *= f64::from(backends) / 10.0;
         fleet.load.length = seconds * 1_000_000;
         let demand = demand::draw(&fleet, 1);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let outcome = run(&Scenario::new(&fleet, &demand), 1);
-        let wall = begun.elapsed().as_secs_f64();
+        let wall = started_at.elapsed().as_secs_f64();
         let tries = outcome.counts.first_tries as f64;
         println!(
-            "{workers:7} {limiters:8} {seconds:11} {tries:8} {wall:6.2} {:14.0} {:12.0} {:13.3} {:>7}",
+            "{backends:7} {limiters:8} {seconds:11} {tries:8} {wall:6.2} {:14.0} {:12.0} {:13.3} {:>7}",
             tries / wall,
             outcome.events as f64 / wall,
             outcome.score.overall.share(),
--- a/crates/model/src/backend.rs
+++ b/crates/model/src/backend.rs
@@ -1,112 +1,121 @@
-//! A backend as a state machine without I/O: the model steps it in virtual time, a stand-in in real time.
+//! A backend as a state machine without I/O. The model advances it in virtual time, a stand-in in real time.
 //!
-//! Requests in work share the cores equally, no request takes more than one; behind them is a queue, and
-//! beyond that requests are rejected. While a backend warms up its capacity rises evenly to the full.
+//! Running requests share the cores equally, with at most one core each. Requests beyond the number of slots are
+//! queued, and rejected once the queue is full. While a backend warms up, its capacity grows linearly to its full
+//! value.
 
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, VecDeque};
 
 use sedgestack_fleet::{BackendKind, Cancel, Micros, PlatformRules};
 
-/// While a backend warms up its capacity is computed anew this often.
+/// Interval at which the capacity is recomputed while a backend warms up.
 const WARM_UP_STEP: Micros = 50_000;
-/// Weight of the newest request in the service time that a backend reports.
+/// Weight of the latest request in the moving average of the service time that a backend reports.
 const LATENCY_WEIGHT: f64 = 0.1;
-/// Work left that counts as none: less than a microsecond of a core.
-const NO_WORK: f64 = 0.5;
+/// Remaining work at or below which a request counts as finished: half a core-microsecond, below the resolution of
+/// the clock.
+const NEGLIGIBLE_WORK: f64 = 0.5;
 
-/// A request at a backend.
+/// A request sent to a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Names it to its caller.
+    /// Identifies the request to its caller.
     pub id: u64,
-    /// Microseconds of a core of speed 1.
+    /// Work of the request, in microseconds on a core of speed 1.
     pub work: f64,
-    /// When its caller gives up.
+    /// When the caller gives up waiting for the request.
     pub expires: Micros,
 }
 
-/// What becomes of a request that arrives.
+/// What a backend does with a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is processed.
+    /// The request runs.
     Started,
-    /// It is queued.
+    /// The request is queued.
     Queued,
-    /// It is rejected: the queue is full.
+    /// The request is rejected because the queue is full.
     QueueFull,
-    /// It was more than the backend, which is warming up, could take; the backend is gone.
+    /// The backend crashed: it received more work than it can take while it warms up.
     Crashed,
 }
 
-/// A request that left.
+/// A request that left a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FinishedJob {
-    /// Names it to its caller.
+    /// Identifies the request to its caller.
     pub id: u64,
-    /// When it left.
+    /// When the request left.
     pub at: Micros,
-    /// Whether it was worked to its end; else it was dropped unworked, as its caller had given up.
+    /// Whether the request was completed. If not, it was dropped from the queue after its caller had given up.
     pub is_completed: bool,
 }
 
 /// A backend's load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Share of its cores that was busy since the report before, 0 to 1.
+    /// Share of the cores that was busy since the previous report, 0 to 1.
     pub utilization: f64,
-    /// Recent mean service time without queueing, microseconds.
+    /// Moving average of the service time without time in the queue, in microseconds.
     pub latency: f64,
 }
 
+/// A running request. The greatest in [`Ord`] is the one that finishes first.
 #[derive(PartialEq)]
-struct InWork {
-    /// Attained service at which it is done.
-    until: f64,
-    order: u64,
+struct RunningJob {
+    /// Attained service at which the request is finished.
+    finish_at: f64,
+    /// Breaks ties: of two requests that finish together, the one that started first leaves first.
+    sequence: u64,
     id: u64,
-    begun: Micros,
+    started_at: Micros,
 }
 
-impl Eq for InWork {}
+impl Eq for RunningJob {}
 
-impl Ord for InWork {
+impl Ord for RunningJob {
     fn cmp(&self, other: &Self) -> Ordering {
-        other.until.total_cmp(&self.until).then(other.order.cmp(&self.order))
+        other.finish_at.total_cmp(&self.finish_at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-impl PartialOrd for InWork {
+impl PartialOrd for RunningJob {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-/// A backend that runs.
+/// The process of a running backend.
 pub struct SimulatedBackend {
     kind: BackendKind,
     rules: PlatformRules,
     speed: f64,
-    /// When its process started; `None` for long ago.
+    /// When the process started; `None` if that was long before the run, so that it does not warm up.
     started: Option<Micros>,
     now: Micros,
-    /// Service that each request in work has had since the beginning, microseconds of a core of speed 1.
-    attained: f64,
-    in_work: BinaryHeap<InWork>,
-    waiting: VecDeque<Job>,
-    orders: u64,
-    /// Work sent within the fall window, while it warms up.
-    sent: VecDeque<(Micros, f64)>,
-    sent_sum: f64,
-    /// Core-microseconds busy since the beginning, and at the last report.
+    /// Service that a request running since the beginning would have received by `now`, in microseconds on a core of
+    /// speed 1. All running requests receive service at the same rate, so one sum is enough for all of them.
+    attained_service: f64,
+    running: BinaryHeap<RunningJob>,
+    queue: VecDeque<Job>,
+    /// Number of requests started so far.
+    jobs_started: u64,
+    /// Time and work of each request that arrived within the last `fall_window`; kept during warm-up only.
+    recent_arrivals: VecDeque<(Micros, f64)>,
+    /// Sum of the work in `recent_arrivals`.
+    recent_work: f64,
+    /// Busy core-microseconds since the beginning.
     busy: f64,
-    reported: (Micros, f64),
+    /// Time of the last load report and the busy core-microseconds until then.
+    last_report: (Micros, f64),
+    /// Moving average of the service time; 0 before the first request has finished.
     latency: f64,
 }
 
 impl SimulatedBackend {
-    /// A backend of `kind` that does `speed` times the work of a core of speed 1, up at `now`; one with a moment
-    /// `started` warms up from then on.
+    /// Creates a backend that runs from `now` on and whose cores have the given `speed`. It warms up from `started`
+    /// on, if that is set.
     pub fn new(
         kind: &BackendKind,
         rules: &PlatformRules,
@@ -120,19 +129,19 @@
             speed,
             started,
             now,
-            attained: 0.0,
-            in_work: BinaryHeap::new(),
-            waiting: VecDeque::new(),
-            orders: 0,
-            sent: VecDeque::new(),
-            sent_sum: 0.0,
+            attained_service: 0.0,
+            running: BinaryHeap::new(),
+            queue: VecDeque::new(),
+            jobs_started: 0,
+            recent_arrivals: VecDeque::new(),
+            recent_work: 0.0,
             busy: 0.0,
-            reported: (now, 0.0),
+            last_report: (now, 0.0),
             latency: 0.0,
         }
     }
 
-    /// Share of its full capacity that it has at `at`, 0 to 1.
+    /// Share of the full capacity that the backend has at `at`, 0 to 1. Below 1 only while it warms up.
     pub fn capacity_share(&self, at: Micros) -> f64 {
         match self.started {
             Some(started) if self.kind.slow_start > 0 => {
@@ -147,110 +156,123 @@
         self.started.is_some_and(|s| at < s + self.kind.slow_start)
     }
 
-    /// Service that each request in work gets a microsecond.
-    fn rate(&self) -> f64 {
-        let n = self.in_work.len() as f64;
+    /// Service that each running request receives per microsecond. Above `thrash_at` requests per core, contention
+    /// reduces the throughput, by up to the share `thrash` at twice that number.
+    fn service_rate(&self) -> f64 {
+        let n = self.running.len() as f64;
         let cores = f64::from(self.kind.cores);
-        let crowded = (n / cores - self.kind.thrash_at).max(0.0) / self.kind.thrash_at.max(1.0);
-        let thrash = 1.0 - self.kind.thrash * crowded.min(1.0);
+        let overload = (n / cores - self.kind.thrash_at).max(0.0) / self.kind.thrash_at.max(1.0);
+        let thrash = 1.0 - self.kind.thrash * overload.min(1.0);
         self.speed * self.capacity_share(self.now) * thrash * (cores / n.max(1.0)).min(1.0)
     }
 
-    /// When something happens next, if nothing arrives before.
+    /// When the backend must be advanced next, unless a request arrives earlier.
     pub fn next_event_at(&self) -> Option<Micros> {
-        let first = self.in_work.peek()?;
-        let left = ((first.until - self.attained).max(0.0) / self.rate()).ceil() as Micros;
-        let done = self.now + left.max(1);
+        let first = self.running.peek()?;
+        let remaining =
+            ((first.finish_at - self.attained_service).max(0.0) / self.service_rate()).ceil() as Micros;
+        let done = self.now + remaining.max(1);
         let step = if self.is_warming_up(self.now) { self.now + WARM_UP_STEP } else { Micros::MAX };
         Some(done.min(step))
     }
 
-    /// Goes on to `to`; what left on the way is added to `left`.
-    pub fn advance(&mut self, to: Micros, left: &mut Vec<FinishedJob>) {
+    /// Advances the backend to `to` and adds the requests that leave until then to `finished`.
+    pub fn advance(&mut self, to: Micros, finished: &mut Vec<FinishedJob>) {
         while self.now < to {
             let until = self.next_event_at().map_or(to, |next| next.min(to));
             let span = (until - self.now) as f64;
-            self.busy += span * (self.in_work.len() as f64).min(f64::from(self.kind.cores));
-            self.attained += span * self.rate();
+            self.busy += span * (self.running.len() as f64).min(f64::from(self.kind.cores));
+            self.attained_service += span * self.service_rate();
             self.now = until;
-            while self.in_work.peek().is_some_and(|first| first.until <= self.attained + NO_WORK) {
-                let done = self.in_work.pop().expect("it was seen");
-                let service = (self.now - done.begun) as f64;
+            while self
+                .running
+                .peek()
+                .is_some_and(|first| first.finish_at <= self.attained_service + NEGLIGIBLE_WORK)
+            {
+                let done = self.running.pop().expect("the heap is not empty");
+                let service = (self.now - done.started_at) as f64;
                 let weight = if self.latency == 0.0 { 1.0 } else { LATENCY_WEIGHT };
                 self.latency += weight * (service - self.latency);
-                left.push(FinishedJob { id: done.id, at: self.now, is_completed: true });
-                self.begin_next(left);
+                finished.push(FinishedJob { id: done.id, at: self.now, is_completed: true });
+                self.start_queued(finished);
             }
         }
     }
 
-    fn begin_next(&mut self, left: &mut Vec<FinishedJob>) {
-        while self.in_work.len() < self.kind.slots as usize {
-            let Some(job) = self.waiting.pop_front() else { return };
+    /// Starts queued requests while there are free slots.
+    fn start_queued(&mut self, finished: &mut Vec<FinishedJob>) {
+        while self.running.len() < self.kind.slots as usize {
+            let Some(job) = self.queue.pop_front() else { return };
             if self.kind.drops_expired && job.expires <= self.now {
-                left.push(FinishedJob { id: job.id, at: self.now, is_completed: false });
+                finished.push(FinishedJob { id: job.id, at: self.now, is_completed: false });
                 continue;
             }
-            self.begin(job);
+            self.start(job);
         }
     }
 
-    fn begin(&mut self, job: Job) {
-        self.orders += 1;
-        let until = self.attained + job.work;
-        self.in_work.push(InWork { until, order: self.orders, id: job.id, begun: self.now });
+    fn start(&mut self, job: Job) {
+        self.jobs_started += 1;
+        let finish_at = self.attained_service + job.work;
+        self.running.push(RunningJob {
+            finish_at,
+            sequence: self.jobs_started,
+            id: job.id,
+            started_at: self.now,
+        });
     }
 
-    /// Takes a request that has come whole. Call [`advance`](SimulatedBackend::advance) to the same moment first.
+    /// Handles a request that has been received completely. Call [`advance`](SimulatedBackend::advance) to the same
+    /// moment first.
     pub fn offer(&mut self, job: Job) -> Admission {
         if self.is_warming_up(self.now) {
-            let since = self.now.saturating_sub(self.rules.fall_window);
-            while self.sent.front().is_some_and(|(at, _)| *at < since) {
-                self.sent_sum -= self.sent.pop_front().map_or(0.0, |(_, work)| work);
+            let window_start = self.now.saturating_sub(self.rules.fall_window);
+            while self.recent_arrivals.front().is_some_and(|(at, _)| *at < window_start) {
+                self.recent_work -= self.recent_arrivals.pop_front().map_or(0.0, |(_, work)| work);
             }
-            self.sent.push_back((self.now, job.work));
-            self.sent_sum += job.work;
+            self.recent_arrivals.push_back((self.now, job.work));
+            self.recent_work += job.work;
             let capacity = f64::from(self.kind.cores) * self.speed * self.capacity_share(self.now);
-            let most = self.rules.fall_multiple * capacity * self.rules.fall_window as f64;
-            if self.sent_sum > most {
+            let max_work = self.rules.fall_multiple * capacity * self.rules.fall_window as f64;
+            if self.recent_work > max_work {
                 return Admission::Crashed;
             }
         }
-        if self.in_work.len() < self.kind.slots as usize {
-            self.begin(job);
+        if self.running.len() < self.kind.slots as usize {
+            self.start(job);
             return Admission::Started;
         }
-        if self.waiting.len() >= self.kind.queue_capacity as usize {
+        if self.queue.len() >= self.kind.queue_capacity as usize {
             return Admission::QueueFull;
         }
-        self.waiting.push_back(job);
+        self.queue.push_back(job);
         Admission::Queued
     }
 
-    /// A caller gave up: returns whether its request was dropped from the queue.
+    /// Handles the cancellation of a request. Returns whether the request was removed from the queue.
     pub fn cancel(&mut self, id: u64) -> bool {
-        let index = self.waiting.iter().position(|j| j.id == id);
+        let index = self.queue.iter().position(|j| j.id == id);
         match index.filter(|_| self.kind.cancel == Cancel::Queued) {
-            Some(index) => self.waiting.remove(index).is_some(),
+            Some(index) => self.queue.remove(index).is_some(),
             None => false,
         }
     }
 
-    /// Requests in work and waiting.
+    /// Returns the numbers of running and of queued requests.
     pub fn running_and_queued(&self) -> (usize, usize) {
-        (self.in_work.len(), self.waiting.len())
+        (self.running.len(), self.queue.len())
     }
 
-    /// Core-microseconds that were busy since it came up.
+    /// Returns the busy core-microseconds since the process started.
     pub fn busy(&self) -> f64 {
         self.busy
     }
 
-    /// Its load since the last call.
+    /// Returns the load report for the time since the last call.
     pub fn report(&mut self) -> Report {
-        let (at, busy) = self.reported;
+        let (at, busy) = self.last_report;
         let span = self.now.saturating_sub(at).max(1) as f64 * f64::from(self.kind.cores);
-        self.reported = (self.now, self.busy);
+        self.last_report = (self.now, self.busy);
         Report { utilization: ((self.busy - busy) / span).clamp(0.0, 1.0), latency: self.latency }
     }
 }
--- a/crates/model/src/counter.rs
+++ b/crates/model/src/counter.rs
@@ -1,80 +1,84 @@
-//! The quota counter as a state machine without I/O: totals by name, so many calls served a second in their order.
+//! The quota counter as a state machine without I/O. It keeps a total per name and serves calls in order of arrival at
+//! a fixed rate.
 
 use std::collections::HashMap;
 
 use sedgestack_fleet::{Counter as Spec, Micros};
 
-/// A name lives this long at most.
-const LONGEST_LIFE: Micros = 60_000_000;
-/// Names are swept once so many are held, and again at every doubling.
-const SWEEP_AT: usize = 4_096;
+/// Longest time for which a name is kept.
+const MAX_TIME_TO_LIVE: Micros = 60_000_000;
+/// Minimum number of names that triggers a sweep of expired names. After a sweep, the next one runs when the number of
+/// names has doubled.
+const MIN_SWEEP_SIZE: usize = 4_096;
 
-/// When a call is answered.
+/// The answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// Added; the total, told at this moment.
+    /// The amount was added: the new total, and when the answer is sent.
     Total(f64, Micros),
-    /// Rejected at once: the queue is full.
+    /// The call is rejected at once because the queue is full.
     Busy,
 }
 
-/// A quota counter.
+/// A quota counter. Names are of any hashable type.
 pub struct Counter<Name> {
     spec: Spec,
+    /// The total of each name, and when the name expires.
     names: HashMap<Name, (f64, Micros)>,
-    sweep_at: usize,
-    /// When the last call that was accepted is served.
+    next_sweep_size: usize,
+    /// When the last accepted call is served.
     free_at: Micros,
     calls: u64,
-    turned_away: u64,
+    rejected: u64,
 }
 
 impl<Name: std::hash::Hash + Eq> Counter<Name> {
-    /// An empty counter.
+    /// Creates a counter without names.
     pub fn new(spec: &Spec) -> Counter<Name> {
         Counter {
             spec: *spec,
             names: HashMap::new(),
-            sweep_at: SWEEP_AT,
+            next_sweep_size: MIN_SWEEP_SIZE,
             free_at: 0,
             calls: 0,
-            turned_away: 0,
+            rejected: 0,
         }
     }
 
-    /// Forgets every name, as a counter does that is back elsewhere.
+    /// Removes all names, as happens when the counter is restarted on another machine.
     pub fn clear(&mut self) {
         self.names.clear();
     }
 
-    /// Calls so far, and those of them that were rejected.
+    /// Returns the number of calls so far, and how many of them were rejected.
     pub fn calls(&self) -> (u64, u64) {
-        (self.calls, self.turned_away)
+        (self.calls, self.rejected)
     }
 
-    /// Names held, the forgotten ones among them until the next sweep.
+    /// Returns the number of names, including expired ones that have not been swept yet.
     pub fn name_count(&self) -> usize {
         self.names.len()
     }
 
-    /// A call that arrives at `now`. Calls are served in the order of arrival, so the total is known here.
-    pub fn add(&mut self, now: Micros, name: Name, amount: f64, keep: Micros) -> Answer {
+    /// Handles a call that arrives at `now` and adds `amount` to the total of `name`. A new name expires after
+    /// `time_to_live`. Calls are served in order of arrival, so the total is known before the call is served.
+    pub fn add(&mut self, now: Micros, name: Name, amount: f64, time_to_live: Micros) -> Answer {
         self.calls += 1;
-        let turn = (1e6 / self.spec.calls_per_second) as Micros;
-        let waits = self.free_at.saturating_sub(now) / turn.max(1);
-        if waits >= u64::from(self.spec.queue_capacity) {
-            self.turned_away += 1;
+        let service_time = (1e6 / self.spec.calls_per_second) as Micros;
+        let queued = self.free_at.saturating_sub(now) / service_time.max(1);
+        if queued >= u64::from(self.spec.queue_capacity) {
+            self.rejected += 1;
             return Answer::Busy;
         }
-        self.free_at = self.free_at.max(now) + turn;
+        self.free_at = self.free_at.max(now) + service_time;
         let at = self.free_at + self.spec.delay;
-        if self.names.len() >= self.sweep_at {
-            self.names.retain(|_, (_, until)| *until > now);
-            self.sweep_at = (2 * self.names.len()).max(SWEEP_AT);
+        if self.names.len() >= self.next_sweep_size {
+            self.names.retain(|_, (_, expires_at)| *expires_at > now);
+            self.next_sweep_size = (2 * self.names.len()).max(MIN_SWEEP_SIZE);
         }
         let entry = self.names.entry(name).or_insert((0.0, 0));
         if entry.1 <= now {
-            *entry = (0.0, now + keep.min(LONGEST_LIFE));
+            *entry = (0.0, now + time_to_live.min(MAX_TIME_TO_LIVE));
         }
         entry.0 += amount;
         Answer::Total(entry.0, at)
--- a/crates/model/src/demand/tests.rs
+++ b/crates/model/src/demand/tests.rs
@@ -1,9 +1,9 @@
-//! Drawn demand against what the fleet file describes.
+//! Tests that drawn demand matches the description in the fleet file.
 
 use super::*;
 
 #[test]
-fn drawn_demand_has_the_described_rate_and_shares() {
+fn drawn_demand_has_configured_rate_and_shares() {
     let mut fleet = crate::tests_support::sample();
     fleet.load.heavy = 0.0;
     fleet.load.spiky = 0.0;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_surge_raises_arrivals_and_work_of_one_class_while_it_lasts() {
+fn surge_raises_arrivals_and_work_of_its_class_only() {
     let mut fleet = crate::tests_support::sample();
     let surge = Surge { class: 1, from: 20_000_000, span: 10_000_000, arrivals: 3.0, work: 2.0 };
     fleet.surges.push(surge);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn known_units_bound_the_work_that_is_drawn() {
+fn work_drawn_for_units_matches_these_units() {
     let fleet = crate::tests_support::sample();
     let (class, rng) = (&fleet.classes[0], &mut stream(5, Concern::Work, 0));
     let work = WorkDistribution::new(class, 2.0);
--- a/crates/model/src/faults.rs
+++ b/crates/model/src/faults.rs
@@ -1,56 +1,57 @@
-//! What goes wrong in a run, and when.
+//! Faults and configuration changes of a run.
 
 use rand::seq::SliceRandom;
 use sedgestack_fleet::{Fleet, Micros};
 
 use crate::streams::{stream, Concern};
 
-/// A change of the runtime configuration of all limiters at one moment: from then on the plans and classes are those
-/// of `rules`.
+/// A change of the runtime configuration that becomes active on all limiters at the same time. From then on, they use
+/// the plans and classes of `fleet`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigurationChange {
-    /// The moment, from the beginning of the load.
+    /// When the change becomes active, from the beginning of the load.
     pub at: Micros,
-    /// The fleet with the new plans and classes.
+    /// A fleet with the new plans and classes.
     pub fleet: Fleet,
 }
 
-/// A fault. `at` is counted from the beginning of a run.
+/// A fault. Its `at` is counted from the beginning of the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A share of all backends dies at once; each is back after `span` and has to warm up.
+    /// A share of all backends crashes at the same time. They restart after `span` and warm up.
     BackendsCrash {
-        /// When it begins.
+        /// When the fault begins.
         at: Micros,
-        /// How long it lasts.
+        /// How long the fault lasts.
         span: Micros,
-        /// The share, 0 to 1.
+        /// Share of the backends that crash, 0 to 1.
         share: f64,
     },
-    /// A zone's backends are lost, and the counter if it is there.
+    /// A zone is lost with its backends, and with the quota counter if that runs there.
     ZoneLost {
-        /// When it begins.
+        /// When the fault begins.
         at: Micros,
-        /// How long it lasts.
+        /// How long the fault lasts.
         span: Micros,
         /// The zone's index.
         zone: usize,
-        /// Whether its limiters are lost too.
+        /// Whether the limiters of the zone are lost too.
         limiters: bool,
-        /// Whether connections stay open and nothing is heard; else the processes die.
+        /// Whether the machines become unreachable, so that connections stay open without an answer. Otherwise the
+        /// processes die and connections are reset.
         silent: bool,
     },
-    /// The counter answers nothing for `span`, and is back empty.
+    /// The quota counter answers no calls for `span` and comes back without its totals.
     CounterLost {
-        /// When it begins.
+        /// When the fault begins.
         at: Micros,
-        /// How long it lasts.
+        /// How long the fault lasts.
         span: Micros,
     },
 }
 
 impl Fault {
-    /// When it begins.
+    /// Returns when the fault begins.
     pub fn starts_at(&self) -> Micros {
         match *self {
             Fault::BackendsCrash { at, .. } | Fault::ZoneLost { at, .. } | Fault::CounterLost { at, .. } => {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// When it ends.
+    /// Returns when the fault ends.
     pub fn ends_at(&self) -> Micros {
         let (Fault::BackendsCrash { span, .. }
         | Fault::ZoneLost { span, .. }
@@ -67,7 +68,8 @@
         self.starts_at() + span
     }
 
-    /// The backends that it hits, by their index in [`Fleet::backend_locations`]; the same for the same seed.
+    /// Returns the backends that the fault affects, as indices into [`Fleet::backend_locations`]. The same seed gives
+    /// the same backends.
     pub fn affected_backends(&self, fleet: &Fleet, seed: u64) -> Vec<usize> {
         let locations = fleet.backend_locations();
         match *self {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,9 @@
-//! A discrete-event model of what a limiter fleet serves: clients with retries, the network, backends, service
-//! discovery, the quota counter, and one real decision module ([`sedgestack::Limiter`]) for each limiter.
+//! A discrete-event simulation of a limiter fleet: clients with retries, the network, backends, service discovery and
+//! the quota counter. Each simulated limiter runs the real decision module ([`sedgestack::Limiter`]).
 //!
-//! It does no I/O and reads no clock. The same scenario and seed give the same run, to the byte, on any number
-//! of threads: [`RunOutcome::digest`] shows it. Times are whole microseconds from the beginning of a run.
+//! The simulation does no I/O and reads no clock. Runs are deterministic: the same scenario and seed give the same run
+//! on any number of threads, which can be verified by [`RunOutcome::digest`]. Times are whole microseconds from the
+//! beginning of a run.
 //!
 //! ```
 //! # let text = include_str!("../../../deploy/fleet-sample.hcl");
--- a/crates/model/src/score/tests.rs
+++ b/crates/model/src/score/tests.rs
@@ -1,9 +1,9 @@
-//! The score of requests that are fed by hand.
+//! Tests of the score with explicit requests.
 
 use super::*;
 
 #[test]
-fn only_units_inside_the_quota_and_answers_in_time_count() {
+fn score_counts_units_within_quota_and_answers_in_time() {
     let fleet = crate::tests_support::sample();
     let mut scorer = Scorer::new(&fleet, 0);
     let asked = |at, units| FirstTry { at, class: 0, plan: 0, customer: 7, units };
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_worst_window_spans_ten_seconds() {
+fn worst_window_spans_ten_seconds() {
     let fleet = crate::tests_support::sample();
     let mut scorer = Scorer::new(&fleet, 0);
     for s in 0..30u64 {
--- a/crates/model/src/sim/attempts.rs
+++ b/crates/model/src/sim/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: a request on its way to a backend and back, and the connections that carry it.
+//! Attempts of limiters to have a request served by a backend, and the connections that they use.
 
 use sedgestack::{AttemptResult, Event as LimiterEvent, LoadReport, Outcome};
 use sedgestack_fleet::Micros;
@@ -10,36 +10,36 @@
 use super::requests::DEADLINE_MARGIN;
 use super::World;
 
-/// A limiter retires idle connections at this part of the time at which backends close them.
-const IDLE_PART: Micros = 3;
+/// A limiter closes an idle connection after the backends' keepalive time divided by this, as the daemon does.
+const KEEPALIVE_DIVISOR: Micros = 3;
 
-/// One attempt of a try.
+/// An attempt to have a try served by a backend.
 pub struct Attempt {
     /// The index of the try.
     pub request: u32,
     /// The number of the attempt within its try.
     pub number: u32,
-    /// The limiter that made it.
+    /// The limiter that made the attempt.
     pub limiter: u32,
-    /// The limiter's incarnation when it was sent.
+    /// The limiter's incarnation when the attempt was sent.
     pub incarnation: u32,
-    /// The backend that it was sent to.
+    /// The backend to which the attempt was sent.
     pub backend: u32,
-    /// The backend's incarnation when it was sent.
+    /// The backend's incarnation when the attempt was sent.
     pub backend_incarnation: u32,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// Whether a connection was opened for it.
+    /// Whether a connection was opened for the attempt.
     pub is_new_connection: bool,
-    /// When its limiter gives it up.
+    /// When the limiter gives up the attempt.
     pub deadline: Micros,
-    /// Whether its limiter knows its outcome.
+    /// Whether the limiter knows the outcome.
     pub is_ended: bool,
-    /// Whether it has a connection.
+    /// Whether the attempt holds a connection.
     pub is_connected: bool,
-    /// Whether its backend counts that connection.
+    /// Whether the backend counts that connection as open.
     pub is_counted: bool,
-    /// The load report that came back with the answer.
+    /// The load report in the answer.
     pub report: LoadReport,
 }
 
@@ -55,14 +55,14 @@
     ) {
         let zone = self.locations[backend as usize].zone;
         let is_reused = self.reuse_connection(number, backend);
-        let attempt = self.push_attempt(number, request, backend, timeout, !is_reused);
+        let attempt = self.add_attempt(number, request, backend, timeout, !is_reused);
         self.current_second.attempts_by_zone.resize(self.fleet.zones.len(), 0);
         self.current_second.attempts_by_zone[zone] += 1;
         self.at(self.attempts[attempt as usize].deadline, Event::AttemptTimesOut { attempt });
         let delay = self.one_way_delay(number, zone);
         let host = &self.backends[backend as usize];
         if host.is_silent {
-            // A new connection never comes up; on an open one nothing is heard.
+            // A new connection times out; on an open one, the attempt stays unanswered.
             if !is_reused {
                 let given_up_at = at + self.fleet.rules.connect_timeout;
                 self.at(given_up_at, Event::AttemptEnds { attempt, outcome: Outcome::ConnectFailed });
@@ -76,20 +76,23 @@
         }
     }
 
-    /// Takes an idle connection to a backend if there is one; those that are stale are closed.
+    /// Closes stale idle connections to a backend and takes one of the others. Returns whether there was one. If not, a
+    /// new connection is counted for the limiter.
     fn reuse_connection(&mut self, number: u32, backend: u32) -> bool {
-        let oldest = self.now.saturating_sub(self.fleet.rules.keepalive / IDLE_PART);
+        let oldest_idle_since = self.now.saturating_sub(self.fleet.rules.keepalive / KEEPALIVE_DIVISOR);
         let current = self.backends[backend as usize].incarnation;
         let limiter = &mut self.limiters[number as usize];
         let idle = &mut limiter.idle[backend as usize];
         let is_current = |connection: &IdleConnection| connection.incarnation == current;
         let before = idle.len();
-        let stale =
-            idle.iter().filter(|connection| connection.since < oldest && is_current(connection)).count();
-        idle.retain(|connection| connection.since >= oldest && is_current(connection));
-        let retired = before - idle.len();
+        let stale = idle
+            .iter()
+            .filter(|connection| connection.since < oldest_idle_since && is_current(connection))
+            .count();
+        idle.retain(|connection| connection.since >= oldest_idle_since && is_current(connection));
+        let removed = before - idle.len();
         let is_reused = idle.pop().is_some();
-        limiter.connections -= retired;
+        limiter.connections -= removed;
         limiter.connections += usize::from(!is_reused);
         for _ in 0..stale {
             self.close_connection(backend, current);
@@ -97,7 +100,8 @@
         is_reused
     }
 
-    fn push_attempt(
+    /// Records a new attempt and returns its index.
+    fn add_attempt(
         &mut self,
         number: u32,
         request: u32,
@@ -128,7 +132,7 @@
         attempt
     }
 
-    /// The outcome of an attempt has reached its limiter.
+    /// Handles the outcome of an attempt, once it has reached the limiter.
     pub(super) fn on_attempt_ended(&mut self, index: u32, outcome: Outcome) {
         if std::mem::replace(&mut self.attempts[index as usize].is_ended, true) {
             return;
@@ -156,7 +160,7 @@
         self.deliver(limiter, LimiterEvent::AttemptEnded(result), CPU_ATTEMPT);
     }
 
-    /// Keeps the connection of an attempt for the next one if its backend answered, else closes it.
+    /// Releases the connection of an attempt: keeps it for reuse if the backend answered, otherwise closes it.
     fn release_connection(&mut self, index: u32, outcome: Outcome) {
         let attempt = &mut self.attempts[index as usize];
         let (backend, incarnation) = (attempt.backend as usize, attempt.backend_incarnation);
@@ -174,7 +178,7 @@
         self.give_up_attempt(attempt, Outcome::TimedOut);
     }
 
-    /// A limiter gives up an attempt and tells its backend so.
+    /// Ends an attempt without waiting for its answer, and sends a cancellation to the backend.
     pub(super) fn give_up_attempt(&mut self, index: u32, outcome: Outcome) {
         let attempt = &self.attempts[index as usize];
         if attempt.is_ended {
--- a/crates/model/src/sim/backends.rs
+++ b/crates/model/src/sim/backends.rs
@@ -1,4 +1,4 @@
-//! Backends in the run: incarnations, connections, idempotency keys, load reports, and the answers that go back.
+//! Backends of a run: processes, connections, idempotency keys, load reports, and answers to attempts.
 
 use rand::Rng;
 use rand_distr::{Distribution, Normal};
@@ -11,52 +11,58 @@
 use crate::gauges::Second;
 use crate::streams::{stream, Concern, Stream};
 
-/// Work of a repeat that is dropped by its key: it is looked up and answered.
+/// Work of a request whose idempotency key is known, in core-microseconds: looking up and sending the earlier answer.
 pub const REPEAT_WORK: f64 = 500.0;
-/// A backend is no slower or faster than this many times its kind, however wide its kind's spread.
-const LEAST_SPEED: f64 = 0.5;
-const MOST_SPEED: f64 = 2.0;
-/// An attempt's work is no less or more than this many times its request's.
-const LEAST_NOISE: f64 = 0.2;
-const MOST_NOISE: f64 = 3.0;
-/// The parts of the stream of backends: their speeds, and the phases of their load reports.
+/// Minimum factor by which the speed of a backend differs from that of its kind.
+const MIN_SPEED_FACTOR: f64 = 0.5;
+/// Maximum factor by which the speed of a backend differs from that of its kind.
+const MAX_SPEED_FACTOR: f64 = 2.0;
+/// Minimum factor by which the work of an attempt differs from that of its request.
+const MIN_NOISE: f64 = 0.2;
+/// Maximum factor by which the work of an attempt differs from that of its request.
+const MAX_NOISE: f64 = 3.0;
+/// Random stream of the speeds of backends.
 const SPEED_STREAM: u64 = 0;
+/// Random stream of the times of the first load reports.
 const PHASE_STREAM: u64 = 1;
 
-/// An idempotency key where it is known: in a pod, a zone, or everywhere.
+/// An idempotency key and where it is known: in a pod, in a zone, or everywhere.
 #[derive(PartialEq, Eq, Hash)]
-pub struct KeyInScope {
-    /// The key, which a first try and its retry share.
+pub struct ScopedKey {
+    /// The key, which is the same for a first try and its retry.
     key: u64,
-    /// The number of the pod or zone.
+    /// The number of the pod or zone; 0 if the key is known everywhere.
     scope: u32,
 }
 
-/// A load report that clients will see later.
+/// A load report that answers carry from `visible_from` on.
 struct PendingReport {
     visible_from: Micros,
     report: LoadReport,
 }
 
-/// A backend's machine.
+/// The machine of a backend.
 pub struct BackendHost {
-    /// `None` while its process is dead.
+    /// The backend process; `None` while it is not running.
     pub process: Option<SimulatedBackend>,
-    /// Whether its machine is cut off: sockets stay open and nothing is heard.
+    /// Whether the machine is unreachable: connections stay open, but no messages arrive or leave.
     pub is_silent: bool,
-    /// How often its process was lost or started anew.
+    /// Incremented when a crash resets the connections and at each restart. Connections to earlier incarnations are
+    /// dead.
     pub incarnation: u32,
-    /// When its process was started, if that was within the run.
+    /// When the process was started, if during the run.
     pub started_at: Option<Micros>,
-    /// Whether service discovery has it as running.
+    /// Whether service discovery lists the backend as in service.
     pub is_listed: bool,
-    /// The version of its endpoint in service discovery.
+    /// The version of the endpoint in service discovery.
     pub version: u64,
     speed: f64,
     connections: u32,
-    /// The latest wake-up that is scheduled; earlier ones are void.
+    /// Number of the latest scheduled wake-up. Earlier ones are void.
     wakeup: u64,
-    busy_before: f64,
+    /// Busy core-microseconds of the process at the last reading of the gauges.
+    last_busy: f64,
+    /// The load report that answers carry now.
     visible_report: LoadReport,
     pending_report: Option<PendingReport>,
 }
@@ -73,13 +79,13 @@
             speed,
             connections: 0,
             wakeup: 0,
-            busy_before: 0.0,
+            last_busy: 0.0,
             visible_report: LoadReport::default(),
             pending_report: None,
         }
     }
 
-    /// The load report that goes back with an answer.
+    /// Returns the load report that an answer carries.
     fn report_at(&mut self, now: Micros) -> LoadReport {
         if let Some(pending) = self.pending_report.take_if(|pending| pending.visible_from <= now) {
             self.visible_report = pending.report;
@@ -88,22 +94,22 @@
     }
 }
 
-/// By how much one attempt's work differs from its request's.
+/// Draws the factor by which the work of an attempt differs from that of its request.
 pub fn attempt_noise(class: &Class, rng: &mut Stream) -> f64 {
     if class.attempt_cv <= 0.0 {
         return 1.0;
     }
-    let noise = Normal::new(1.0, class.attempt_cv).expect("a checked spread is finite");
-    noise.sample(rng).clamp(LEAST_NOISE, MOST_NOISE)
+    let noise = Normal::new(1.0, class.attempt_cv).expect("a validated variation is finite");
+    noise.sample(rng).clamp(MIN_NOISE, MAX_NOISE)
 }
 
-/// The speeds of a fleet's backends: drawn once from its seed, the same in the model and in rehearsals.
+/// Draws the speeds of all backends. The same seed gives the same speeds in the model and in rehearsals.
 pub fn backend_speeds(fleet: &Fleet, seed: u64) -> Vec<f64> {
     let mut rng = stream(seed, Concern::Backends, SPEED_STREAM);
     let draw = |location: &BackendLocation| {
         let kind = &fleet.backend_kinds[location.kind];
-        let spread = Normal::new(1.0, kind.speed_cv).expect("a checked spread is finite");
-        kind.speed * spread.sample(&mut rng).clamp(LEAST_SPEED, MOST_SPEED)
+        let speed_factor = Normal::new(1.0, kind.speed_cv).expect("a validated variation is finite");
+        kind.speed * speed_factor.sample(&mut rng).clamp(MIN_SPEED_FACTOR, MAX_SPEED_FACTOR)
     };
     fleet.backend_locations().iter().map(draw).collect()
 }
@@ -124,16 +130,16 @@
         }
     }
 
-    /// Opens a connection to a backend; false where it has as many as it takes.
+    /// Opens a connection to a backend. Returns false if the backend has reached its maximum number of connections.
     pub(super) fn open_connection(&mut self, backend: u32) -> bool {
-        let most = self.kind_of(backend).connections;
+        let max_connections = self.kind_of(backend).connections;
         let host = &mut self.backends[backend as usize];
-        let has_capacity = host.connections < most;
+        let has_capacity = host.connections < max_connections;
         host.connections += u32::from(has_capacity);
         has_capacity
     }
 
-    /// Closes a connection that was opened to an incarnation of a backend.
+    /// Closes a connection that was opened to the given incarnation of a backend.
     pub(super) fn close_connection(&mut self, backend: u32, incarnation: u32) {
         let host = &mut self.backends[backend as usize];
         if host.incarnation == incarnation {
@@ -141,7 +147,7 @@
         }
     }
 
-    /// An attempt has reached its backend whole.
+    /// Handles an attempt that a backend has received completely.
     pub(super) fn on_attempt_at_backend(&mut self, index: u32) {
         let attempt = &self.attempts[index as usize];
         let (backend, deadline) = (attempt.backend, attempt.deadline);
@@ -158,7 +164,7 @@
         let work = self.work_of(index);
         self.record_forwarded(index);
         self.advance_backend(backend);
-        let process = self.backends[backend as usize].process.as_mut().expect("it runs");
+        let process = self.backends[backend as usize].process.as_mut().expect("the process is running");
         match process.offer(Job { id: u64::from(index), work, expires: deadline }) {
             Admission::Started | Admission::Queued => self.schedule_wakeup(backend),
             Admission::QueueFull => {
@@ -172,7 +178,8 @@
         }
     }
 
-    /// The work of an attempt: that of its request with some noise, or that of dropping a repeat by its key.
+    /// Returns the work of an attempt: that of its request with noise, or [`REPEAT_WORK`] if its idempotency key is
+    /// known. The handshake of a new connection comes on top.
     fn work_of(&mut self, index: u32) -> f64 {
         let attempt = &self.attempts[index as usize];
         let location = self.locations[attempt.backend as usize];
@@ -186,7 +193,7 @@
                 KeyScope::Zone => location.zone as u32,
                 KeyScope::All => 0,
             };
-            let key = KeyInScope { key: u64::from(arrival_index), scope };
+            let key = ScopedKey { key: u64::from(arrival_index), scope };
             let known_until = self.keys.entry(key).or_insert(0);
             if *known_until > self.now {
                 work = REPEAT_WORK;
@@ -198,7 +205,7 @@
         work + if attempt.is_new_connection { handshake } else { 0.0 }
     }
 
-    /// Records that a try reached a backend, at its first attempt that does.
+    /// Records that a try reached a backend, unless an earlier attempt of it did.
     fn record_forwarded(&mut self, index: u32) {
         let client_try = &mut self.tries[self.attempts[index as usize].request as usize];
         if !std::mem::replace(&mut client_try.is_forwarded, true) {
@@ -206,7 +213,7 @@
         }
     }
 
-    /// Brings a backend to the present and sends back what it finished on the way.
+    /// Advances a backend to the present and sends the answers of the requests that left it.
     fn advance_backend(&mut self, backend: u32) {
         let mut finished = Vec::new();
         if let Some(process) = &mut self.backends[backend as usize].process {
@@ -237,7 +244,7 @@
         self.at(at + delay, Event::AttemptEnds { attempt: index, outcome });
     }
 
-    /// Schedules what happens next at a backend by itself, in place of what was scheduled before.
+    /// Schedules the next wake-up of a backend, which replaces any earlier one.
     fn schedule_wakeup(&mut self, backend: u32) {
         let host = &mut self.backends[backend as usize];
         host.wakeup += 1;
@@ -268,16 +275,17 @@
         self.schedule_wakeup(backend);
     }
 
-    /// A backend's process dies: its connections are reset, and service discovery learns of it after a while.
+    /// Kills the process of a backend. Its connections are reset, unless the machine is unreachable. Service discovery
+    /// detects the failure after a delay.
     pub(super) fn kill_backend(&mut self, backend: u32) {
         let host = &mut self.backends[backend as usize];
         if host.process.take().is_none() {
             return;
         }
         host.wakeup += 1;
-        host.busy_before = 0.0;
+        host.last_busy = 0.0;
         let is_silent = host.is_silent;
-        // Connections to a machine that fell silent stay open.
+        // Connections to an unreachable machine stay open.
         if !is_silent {
             host.incarnation += 1;
             host.connections = 0;
@@ -303,7 +311,7 @@
         }
     }
 
-    /// A backend's process starts anew and has to warm up.
+    /// Restarts the process of a backend, which then warms up.
     pub(super) fn restart_backend(&mut self, backend: u32) {
         let kind = self.kind_of(backend);
         let host = &mut self.backends[backend as usize];
@@ -313,11 +321,12 @@
         host.started_at = Some(self.now);
         let process = SimulatedBackend::new(kind, &self.fleet.rules, host.speed, Some(self.now), self.now);
         host.process = Some(process);
-        host.busy_before = 0.0;
+        host.last_busy = 0.0;
         self.update_endpoint(backend, true, self.fleet.discovery.add);
     }
 
-    /// Changes a backend's endpoint in service discovery, which notifies each limiter after a wait between two ends.
+    /// Changes a backend's endpoint in service discovery, which notifies each limiter after a delay between the given
+    /// bounds.
     fn update_endpoint(&mut self, backend: u32, is_listed: bool, (low, high): (Micros, Micros)) {
         let host = &mut self.backends[backend as usize];
         host.is_listed = is_listed;
@@ -332,13 +341,13 @@
     pub(super) fn renew_load_report(&mut self, backend: u32) {
         let kind = self.kind_of(backend);
         self.advance_backend(backend);
-        let noise = Normal::new(1.0, kind.report_noise).expect("a checked spread is finite");
+        let noise = Normal::new(1.0, kind.report_noise).expect("a validated variation is finite");
         let host = &mut self.backends[backend as usize];
         if let Some(process) = &mut host.process {
             let load = process.report();
             let factor = noise.sample(&mut self.attempt_draws).max(0.0);
-            if let Some(before) = host.pending_report.take() {
-                host.visible_report = before.report;
+            if let Some(previous) = host.pending_report.take() {
+                host.visible_report = previous.report;
             }
             let report = LoadReport {
                 utilization: Some((load.utilization * factor).clamp(0.0, 1.0)),
@@ -362,8 +371,8 @@
             let kind = self.kind_of(backend);
             let host = &mut self.backends[backend as usize];
             let Some(process) = host.process.as_ref().filter(|_| !host.is_silent) else { continue };
-            let own_busy = (process.busy() - host.busy_before) / 1e6;
-            host.busy_before = process.busy();
+            let own_busy = (process.busy() - host.last_busy) / 1e6;
+            host.last_busy = process.busy();
             let own_queued = process.running_and_queued().1 as f64;
             busy += own_busy;
             cores += f64::from(kind.cores);
--- a/crates/model/src/sim/clients.rs
+++ b/crates/model/src/sim/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: first tries by the demand, patience, and one retry at most.
+//! Clients: they send the first tries of the demand, give up after a timeout, and retry at most once.
 
 use rand::Rng;
 
@@ -12,46 +12,46 @@
 /// A final answer on its way to a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// A backend's answer.
+    /// The answer of a backend.
     Served,
     /// A rejection.
     Rejected {
-        /// After which a retry is welcome; 0 for no such hint.
+        /// Delay after which the client may retry; 0 if the limiter gives none.
         retry_after: Micros,
     },
     /// An error.
     Failed,
 }
 
-/// One try of a client.
+/// A request as sent by a client: a first try or a retry.
 pub struct Try {
-    /// The first try's index in the demand.
+    /// Index of the first try in the demand.
     pub arrival: u32,
-    /// Whether it is a retry.
+    /// Whether this is a retry.
     pub is_retry: bool,
-    /// When its client sent it.
+    /// When the client sent the try.
     pub sent_at: Micros,
-    /// The limiter that it was sent to.
+    /// The limiter to which the try was sent.
     pub limiter: u32,
-    /// How long its client waits.
+    /// How long the client waits for an answer.
     pub patience: Micros,
-    /// Whether a limiter has it and has not answered.
+    /// Whether the limiter has received the try and not yet answered it.
     pub is_open: bool,
-    /// When the limiter received it.
+    /// When the limiter received the try.
     pub received_at: Micros,
-    /// The incarnation of the limiter then.
+    /// The incarnation of the limiter that received the try.
     pub incarnation: u32,
-    /// When the limiter's decisions were notified of it.
+    /// When the limiter's decision module handled the try.
     pub handled_at: Micros,
-    /// Whether its limiter owes nothing more for it.
+    /// Whether the limiter is done with the try: answered, abandoned by the client, or lost with the limiter.
     pub is_answered: bool,
     /// Whether the client has its answer or has given up.
     pub is_done: bool,
-    /// Its attempts, by their index in the run.
+    /// Indices of the attempts in the run.
     pub attempts: Vec<u32>,
-    /// Whether an attempt reached a backend whole.
+    /// Whether a backend received an attempt of the try completely.
     pub is_forwarded: bool,
-    /// Whether the limiter's last call to the counter had been answered when it came.
+    /// Whether the limiter's last call to the quota counter had been answered when the try arrived.
     pub is_counter_answering: bool,
 }
 
@@ -77,17 +77,18 @@
     }
 
     fn send_try(&mut self, arrival: u32, is_retry: bool) {
-        let demanded = self.demand.arrivals[arrival as usize];
+        let first_try = self.demand.arrivals[arrival as usize];
         let limiters = self.limiters.len() as u32;
         let (load, seed, now) = (&self.fleet.load, self.seed, self.now);
-        let limiter = draw_limiter(load, seed, &demanded, now, limiters, &self.known_down, &mut self.clients);
+        let limiter =
+            draw_limiter(load, seed, &first_try, now, limiters, &self.known_down, &mut self.clients);
         let request = self.tries.len() as u32;
         self.tries.push(Try {
             arrival,
             is_retry,
             sent_at: now,
             limiter,
-            patience: demanded.timeout,
+            patience: first_try.timeout,
             is_open: false,
             received_at: 0,
             incarnation: 0,
@@ -100,7 +101,7 @@
         });
         let delay = self.jittered(self.fleet.delays.client);
         self.at(now + delay, Event::AtLimiter { request });
-        self.at(now + demanded.timeout, Event::ClientTimesOut { request });
+        self.at(now + first_try.timeout, Event::ClientTimesOut { request });
     }
 
     pub(super) fn on_client_timeout(&mut self, request: u32) {
@@ -127,11 +128,11 @@
         }
     }
 
-    /// A try ended without a backend's answer: its client may retry, once.
+    /// Ends a try that a backend did not answer. The client may retry a first try.
     fn end_unserved(&mut self, request: u32, retry_after: Micros) {
         let clients = &self.fleet.clients;
         let client_try = &self.tries[request as usize];
-        // Both are drawn for every try, so that one setting does not move the draws of the other.
+        // Both are always drawn, so that changing one setting does not change the draws for the other.
         let (retry_draw, honour_draw) = (self.clients.random::<f64>(), self.clients.random::<f64>());
         if client_try.is_retry || retry_draw >= clients.retries {
             self.scorer.record_closed(u64::from(client_try.arrival));
--- a/crates/model/src/sim/counter_calls.rs
+++ b/crates/model/src/sim/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of limiters to the quota counter.
+//! Calls from limiters to the quota counter.
 
 use sedgestack::{Event as LimiterEvent, Outcome};
 use sedgestack_fleet::Micros;
@@ -8,16 +8,16 @@
 use super::World;
 use crate::counter::Answer;
 
-/// A call to the counter.
+/// A call to the quota counter.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterCall {
     /// The name of the total.
     pub name: u64,
-    /// What is added to it.
+    /// The amount to add to the total.
     pub amount: f64,
-    /// How long the name lives.
+    /// Time after which a new name expires.
     pub time_to_live: Micros,
-    /// The number of the call at its limiter.
+    /// The number of the call, unique for the limiter.
     pub serial: u64,
 }
 
@@ -78,7 +78,7 @@
         self.deliver(number, event, CPU_OTHER);
     }
 
-    /// Closes a call that is under way; false where it is not, as its answer came already or its limiter died.
+    /// Closes a call in flight. Returns false if the call is already closed or its limiter has died since.
     fn close_call(&mut self, number: u32, incarnation: u32, serial: u64, is_answered: bool) -> bool {
         let limiter = &mut self.limiters[number as usize];
         if limiter.incarnation != incarnation || limiter.calls.remove(&serial).is_none() {
--- a/crates/model/src/sim/events.rs
+++ b/crates/model/src/sim/events.rs
@@ -1,4 +1,4 @@
-//! The events of a run and the queue that orders them.
+//! The events of a run, and the queue that orders them.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -8,29 +8,29 @@
 use super::clients::Answer;
 use super::counter_calls::CounterCall;
 
-/// Bits of a digest's input that hold the kind of an event.
+/// Number of low bits of an event's fingerprint that hold its kind.
 const KIND_BITS: u32 = 5;
 
-/// What happens at one moment. Tries (`request`), attempts, limiters and backends go by their index.
+/// An event of a run. Tries (`request`), attempts, limiters and backends are identified by index.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The next first try of the demand is sent.
     FirstTry,
-    /// A client sends its retry of an unserved try.
+    /// A client retries a try that was not served.
     ClientRetry { request: u32 },
     /// A try reaches its limiter.
     AtLimiter { request: u32 },
-    /// A client gives up waiting.
+    /// A client gives up waiting for an answer.
     ClientTimesOut { request: u32 },
     /// An answer reaches its client.
     AtClient { request: u32, answer: Answer },
-    /// A limiter handles what is in its inbox.
+    /// A limiter handles the events in its inbox.
     Handle { limiter: u32, incarnation: u32 },
     /// A limiter's timer fires.
     Timer { limiter: u32, incarnation: u32 },
-    /// An attempt has reached its backend whole.
+    /// A backend has received an attempt completely.
     AtBackend { attempt: u32 },
-    /// Something happens at a backend by itself, if nothing arrived there since this was scheduled.
+    /// A backend must be advanced. Void if another wake-up of the backend has been scheduled since.
     BackendDue { backend: u32, wakeup: u64 },
     /// The outcome of an attempt reaches its limiter.
     AttemptEnds { attempt: u32, outcome: sedgestack::Outcome },
@@ -40,11 +40,11 @@
     CancelAtBackend { attempt: u32 },
     /// A call reaches the quota counter.
     AtCounter { limiter: u32, incarnation: u32, call: CounterCall },
-    /// The counter's answer reaches its limiter; `None` is a rejection.
+    /// The quota counter's answer reaches the limiter. A `total` of `None` is a rejection.
     CounterReplies { limiter: u32, incarnation: u32, name: u64, serial: u64, total: Option<f64> },
-    /// A limiter gives up waiting for the counter.
+    /// A limiter gives up waiting for the quota counter.
     CounterTimesOut { limiter: u32, incarnation: u32, name: u64, serial: u64 },
-    /// Service discovery notifies a limiter of a backend's state.
+    /// Service discovery notifies a limiter that a backend's endpoint changed.
     EndpointChanges { limiter: u32, backend: u32, version: u64 },
     /// A backend renews its load report.
     LoadReport { backend: u32 },
@@ -54,17 +54,17 @@
     FaultBegins { fault: u32 },
     /// A fault ends.
     FaultEnds { fault: u32 },
-    /// Clients' load balancer learns that a limiter is down, or up again.
-    LoadBalancerLearns { limiter: u32, is_down: bool, incarnation: u32 },
-    /// The counter is back after a loss.
+    /// The clients' load balancer detects that a limiter is down, or up again.
+    LoadBalancerDetects { limiter: u32, is_down: bool, incarnation: u32 },
+    /// The quota counter comes back after a loss.
     CounterBack,
-    /// The gauges of a second are read.
+    /// The gauges of the past second are read.
     Gauge,
 }
 
 impl Event {
-    /// A number for the event's kind and for what it concerns; `next_arrival` is the index of the next first try.
-    /// The numbers enter the digest of a run, so they must not change.
+    /// Returns a number that combines the event's kind and subject, for the digest of a run. The numbers of the kinds
+    /// must not change, as digests would change with them. `next_arrival` is the index of the next first try.
     pub fn fingerprint(&self, next_arrival: usize) -> u64 {
         let (kind, subject) = match self {
             Event::FirstTry => (1, next_arrival as u64),
@@ -86,7 +86,7 @@
             Event::LoadReport { backend } => (17, u64::from(*backend)),
             Event::FaultBegins { fault } => (18, u64::from(*fault)),
             Event::FaultEnds { fault } => (19, u64::from(*fault)),
-            Event::LoadBalancerLearns { limiter, .. } => (20, u64::from(*limiter)),
+            Event::LoadBalancerDetects { limiter, .. } => (20, u64::from(*limiter)),
             Event::CounterBack => (21, 0),
             Event::Gauge => (22, 0),
             Event::ConfigurationChange { change } => (23, u64::from(*change)),
@@ -95,19 +95,19 @@
     }
 }
 
-/// An event at its moment.
+/// An event in the queue.
 pub struct Scheduled {
-    /// The moment.
+    /// When the event happens.
     pub at: Micros,
-    /// Events of one moment happen in the order in which they were scheduled.
-    order: u64,
-    /// What happens.
+    /// Sequence number: events at the same time happen in the order in which they were scheduled.
+    sequence: u64,
+    /// The event itself.
     pub event: Event,
 }
 
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -121,11 +121,11 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// The events that are still to come, the earliest first.
+/// The queue of future events.
 #[derive(Default)]
 pub struct EventQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
@@ -136,15 +136,15 @@
     /// Adds an event.
     pub fn push(&mut self, at: Micros, event: Event) {
         self.scheduled += 1;
-        self.heap.push(Reverse(Scheduled { at, order: self.scheduled, event }));
+        self.heap.push(Reverse(Scheduled { at, sequence: self.scheduled, event }));
     }
 
-    /// Takes the next event.
+    /// Removes and returns the earliest event.
     pub fn pop(&mut self) -> Option<Scheduled> {
         self.heap.pop().map(|Reverse(scheduled)| scheduled)
     }
 
-    /// How many events were added since the beginning.
+    /// Returns how many events have been added so far.
     pub fn scheduled(&self) -> u64 {
         self.scheduled
     }
--- a/crates/model/src/sim/faults.rs
+++ b/crates/model/src/sim/faults.rs
@@ -1,4 +1,4 @@
-//! Faults as they begin and as they end.
+//! The effects of faults when they begin and end.
 
 use rand::Rng;
 use sedgestack_fleet::Micros;
@@ -8,7 +8,7 @@
 use crate::faults::Fault;
 
 impl World<'_> {
-    /// Whether a zone is cut off, so that its machines say nothing.
+    /// Whether the machines of a zone are unreachable.
     pub(super) fn is_zone_silent(&self, zone: usize) -> bool {
         let now = self.now.saturating_sub(START);
         let silences = |fault: &Fault| {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A zone's limiters are lost if `limiters` says so, and the counter if it is there.
+    /// Loses the limiters of a zone, if `limiters` is set, and the quota counter if it runs there.
     fn lose_zone(&mut self, zone: usize, limiters: bool) {
         if limiters {
             for number in self.limiters_of(zone) {
@@ -64,28 +64,28 @@
         }
     }
 
-    /// Clients' load balancer learns that a limiter is down, or up again, after a while.
+    /// Lets the clients' load balancer detect, after a delay, that a limiter is down or up again.
     fn notify_load_balancer(&mut self, number: u32, is_down: bool) {
         let (low, high) = self.fleet.discovery.front_notice;
         let wait = if high > low { self.network.random_range(low..=high) } else { low };
         let incarnation = self.limiters[number as usize].incarnation;
-        self.at(self.now + wait, Event::LoadBalancerLearns { limiter: number, is_down, incarnation });
+        self.at(self.now + wait, Event::LoadBalancerDetects { limiter: number, is_down, incarnation });
     }
 
-    pub(super) fn on_limiter_state_learnt(&mut self, number: u32, is_down: bool, incarnation: u32) {
+    pub(super) fn on_limiter_state_detected(&mut self, number: u32, is_down: bool, incarnation: u32) {
         if self.limiters[number as usize].incarnation == incarnation {
             self.known_down[number as usize] = is_down;
         }
     }
 
-    /// The counter answers nothing for `span`, or for as long as an earlier loss lasts.
+    /// Loses the quota counter for `span`, or until an earlier loss ends if that is later.
     fn lose_counter(&mut self, span: Micros) {
         let until = (self.now + span).max(self.counter_lost_until.unwrap_or(0));
         self.counter_lost_until = Some(until);
         self.at(until, Event::CounterBack);
     }
 
-    /// The counter runs again, empty, unless another loss goes on.
+    /// Restarts the quota counter without its totals, unless another loss is still in effect.
     pub(super) fn on_counter_back(&mut self) {
         if self.counter_lost_until.is_some_and(|until| until <= self.now) {
             self.counter.clear();
--- a/crates/model/src/sim/inbox.rs
+++ b/crates/model/src/sim/inbox.rs
@@ -1,4 +1,5 @@
-//! The inbox of a limiter: events wait for its share of a core, and its decisions on them are carried out.
+//! The inbox of a limiter: events wait until the limiter's CPU is free, then its decision module handles them and the
+//! resulting actions are carried out.
 
 use sedgestack::{Action, Event as LimiterEvent, Outcome};
 use sedgestack_fleet::Micros;
@@ -7,23 +8,23 @@
 use super::events::Event;
 use super::{Step, World};
 
-/// Of a request's CPU, the part that falls to its arrival.
+/// Share of the CPU time per request that handling its arrival takes.
 pub const CPU_ARRIVAL: f64 = 0.5;
-/// Of a request's CPU, the part that falls to the end of each attempt.
+/// Share of the CPU time per request that handling the end of an attempt takes.
 pub const CPU_ATTEMPT: f64 = 0.45;
-/// Of a request's CPU, the part that falls to any other event.
+/// Share of the CPU time per request that handling any other event takes.
 pub const CPU_OTHER: f64 = 0.05;
 
 impl World<'_> {
-    /// Puts an event into a limiter's inbox; handling it takes `cpu_part` of a request's CPU.
+    /// Puts an event into a limiter's inbox. Handling it takes the share `cpu_part` of the CPU time per request.
     pub(super) fn deliver(&mut self, number: u32, event: LimiterEvent, cpu_part: f64) {
-        let cost = cpu_part * self.fleet.limiter.cpu_per_request / self.fleet.limiter.cores;
+        let cpu_time = cpu_part * self.fleet.limiter.cpu_per_request / self.fleet.limiter.cores;
         let limiter = &mut self.limiters[number as usize];
         if !limiter.is_up {
             return;
         }
         limiter.inbox.push(event);
-        limiter.inbox_cost += cost;
+        limiter.inbox_cpu_time += cpu_time;
         if !limiter.is_scheduled {
             limiter.is_scheduled = true;
             let (at, incarnation) = (limiter.free_at.max(self.now), limiter.incarnation);
@@ -37,7 +38,7 @@
         }
     }
 
-    /// A limiter decides on all that is in its inbox; what it does follows once its CPU is through with it.
+    /// Lets a limiter handle all events in its inbox. The actions are carried out once their CPU time has passed.
     pub(super) fn handle_inbox(&mut self, number: u32, incarnation: u32) {
         let now = self.now;
         let limiter = &mut self.limiters[number as usize];
@@ -46,9 +47,9 @@
         }
         limiter.is_scheduled = false;
         let events = std::mem::take(&mut limiter.inbox);
-        let cost = std::mem::take(&mut limiter.inbox_cost);
-        limiter.free_at = now + cost as Micros;
-        limiter.busy += cost;
+        let cpu_time = std::mem::take(&mut limiter.inbox_cpu_time);
+        limiter.free_at = now + cpu_time as Micros;
+        limiter.busy += cpu_time;
         let done_at = limiter.free_at;
         for event in &events {
             if let LimiterEvent::Request(request) = event {
@@ -57,7 +58,7 @@
         }
         let actions = limiter.decisions.handle(now, &events);
         (self.observer)(&Step { limiter: number, now, events: &events, actions: &actions });
-        // The emptied vector goes back, so that its memory is used again.
+        // Reuses the memory of the vector.
         limiter.inbox = events;
         limiter.inbox.clear();
         for action in actions {
@@ -69,7 +70,7 @@
         let incarnation = self.limiters[number as usize].incarnation;
         match action {
             Action::StartAttempt { request, backend, timeout, .. } => {
-                let backend = backend[1..].parse().expect("backends are named by number");
+                let backend = backend[1..].parse().expect("backend ids are w and a number");
                 self.send_attempt(number, at, request as u32, backend, timeout);
             }
             Action::CancelAttempt { request, attempt } => {
@@ -88,8 +89,8 @@
             Action::SetTimer { after } => {
                 self.at(self.now + after, Event::Timer { limiter: number, incarnation });
             }
-            // The settings allow no health checks and no messages to peers, the endpoint list comes by itself, and
-            // what is logged changes nothing.
+            // The settings disable health checks and messages to peers, the endpoint list is sent without a
+            // subscription, and the log is not part of the simulation.
             Action::HealthCheck { .. }
             | Action::Subscribe
             | Action::SendToPeers { .. }
--- a/crates/model/src/sim/limiters.rs
+++ b/crates/model/src/sim/limiters.rs
@@ -1,4 +1,4 @@
-//! Limiters: each a real [`Limiter`] with an inbox, a share of a core, and connections to backends.
+//! Limiters: each runs a real [`Limiter`] with an inbox, limited CPU, and connections to backends.
 
 use std::collections::BTreeMap;
 
@@ -13,56 +13,58 @@
 use crate::score::SECOND;
 use crate::streams::mix_bits;
 
-/// Descriptors that a limiter has beside those for clients and backends.
-const OWN_SOCKETS: usize = 40;
+/// Number of file descriptors that a limiter uses in addition to connections of clients and to backends.
+const BASE_SOCKETS: usize = 40;
 
 /// An idle connection to a backend.
 pub struct IdleConnection {
-    /// Since when it is idle.
+    /// When the connection became idle.
     pub since: Micros,
-    /// The incarnation of the backend that it was opened to.
+    /// The incarnation of the backend to which it was opened.
     pub incarnation: u32,
 }
 
-/// A limiter.
+/// A limiter of a run.
 pub struct SimulatedLimiter {
+    /// The decision module.
     pub(super) decisions: Limiter,
-    /// The indices of the active version's classes and plans.
+    /// The indices of the classes and plans of the active version.
     pub(super) indices: VersionIndices,
     pub(super) is_up: bool,
     pub(super) incarnation: u32,
     pub(super) inbox: Vec<LimiterEvent>,
-    /// CPU that the events in the inbox take, microseconds.
-    pub(super) inbox_cost: f64,
-    /// Whether the handling of the inbox is scheduled.
+    /// CPU time that the events in the inbox take, in microseconds.
+    pub(super) inbox_cpu_time: f64,
+    /// Whether an event that handles the inbox is scheduled.
     pub(super) is_scheduled: bool,
+    /// When the CPU is done with the events handled so far.
     pub(super) free_at: Micros,
-    /// CPU used since the last reading of the gauges, microseconds.
+    /// CPU time used since the last reading of the gauges, in microseconds.
     pub(super) busy: f64,
-    /// Idle connections, by backend.
+    /// Idle connections by backend.
     pub(super) idle: Vec<Vec<IdleConnection>>,
-    /// Connections to backends, idle or not.
+    /// Number of connections to backends, idle or in use.
     pub(super) connections: usize,
-    /// Connections of clients.
+    /// Number of connections of clients.
     pub(super) clients: usize,
     endpoints_version: u64,
-    /// Calls to the counter that are under way: their names by serial number.
+    /// Calls to the quota counter in flight: names by serial number.
     pub(super) calls: BTreeMap<u64, u64>,
     pub(super) last_serial: u64,
-    /// Whether the last call to the counter was answered.
+    /// Whether the last call to the quota counter was answered.
     pub(super) is_counter_answering: bool,
 }
 
-/// Makes the classes and plans of `fleet` those of limiter `number`.
+/// Gives a limiter the classes and plans of `fleet`. `number` is the number of the limiter.
 fn adopt_version(decisions: &mut Limiter, fleet: &Fleet, number: u32) -> VersionIndices {
     let (settings, _) = platform::settings(fleet, number);
     decisions
         .adopt_version(&settings.classes, &settings.plans)
-        .expect("a version has the fleet's classes and plans")
+        .expect("a version has the classes and plans of the fleet")
 }
 
 impl World<'_> {
-    /// A version becomes active at all limiters; one that is down has it when it returns.
+    /// Activates a version on all limiters. A limiter that is down starts with the active version.
     pub(super) fn activate_change(&mut self, change: u32) {
         self.active_changes = change as usize + 1;
         let fleet = self.changes[change as usize].fleet.clone();
@@ -83,7 +85,7 @@
     fn new_limiter(&self, number: u32, incarnation: u32) -> SimulatedLimiter {
         let (settings, _) = platform::settings(self.fleet, number);
         let seed = mix_bits(self.seed ^ mix_bits(u64::from(number) << 32 | u64::from(incarnation)));
-        let mut decisions = Limiter::new(settings, seed).expect("a checked fleet has usable settings");
+        let mut decisions = Limiter::new(settings, seed).expect("a validated fleet gives valid settings");
         let active = self.active_changes.checked_sub(1).map(|change| &self.changes[change].fleet);
         let indices = adopt_version(&mut decisions, active.unwrap_or(self.fleet), number);
         SimulatedLimiter {
@@ -92,7 +94,7 @@
             is_up: true,
             incarnation,
             inbox: Vec::new(),
-            inbox_cost: 0.0,
+            inbox_cpu_time: 0.0,
             is_scheduled: false,
             free_at: self.now,
             busy: 0.0,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// A limiter's process dies: its open tries and attempts are lost.
+    /// Kills the process of a limiter. Its open tries and attempts are lost.
     pub(super) fn kill_limiter(&mut self, number: u32) {
         self.limiters[number as usize].is_up = false;
         self.close_idle_connections(number);
@@ -160,7 +162,7 @@
         self.notify_all_endpoints(number);
     }
 
-    /// Service discovery sends a limiter the whole endpoint list.
+    /// Sends the complete endpoint list to a limiter.
     fn notify_all_endpoints(&mut self, number: u32) {
         let endpoints: Vec<Endpoint> =
             (0..self.backends.len() as u32).map(|backend| self.endpoint(backend)).collect();
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Service discovery notifies a limiter of one backend's state, as it is now.
+    /// Notifies a limiter of the state of one endpoint, unless the limiter is down or the endpoint has a later version.
     pub(super) fn on_endpoint_changed(&mut self, number: u32, backend: u32, version: u64) {
         if !self.limiters[number as usize].is_up || self.backends[backend as usize].version != version {
             return;
@@ -199,7 +201,7 @@
         for limiter in &mut self.limiters {
             let busy = std::mem::take(&mut limiter.busy);
             second.limiter_cpu = second.limiter_cpu.max(busy / SECOND as f64);
-            let sockets = (limiter.clients + limiter.connections + OWN_SOCKETS) as f64;
+            let sockets = (limiter.clients + limiter.connections + BASE_SOCKETS) as f64;
             let share = sockets / f64::from(self.fleet.limiter.sockets);
             second.limiter_sockets = second.limiter_sockets.max(share);
         }
--- a/crates/model/src/sim/mod.rs
+++ b/crates/model/src/sim/mod.rs
@@ -1,4 +1,4 @@
-//! The run: one queue of events and the world that they change.
+//! The simulation: an event queue and the state that the events change.
 
 mod attempts;
 mod backends;
@@ -25,7 +25,7 @@
 use crate::streams::{mix_bits, stream, Concern, Stream};
 
 use attempts::Attempt;
-use backends::{BackendHost, KeyInScope};
+use backends::{BackendHost, ScopedKey};
 use clients::Try;
 use events::{Event, EventQueue};
 use limiters::SimulatedLimiter;
@@ -34,15 +34,16 @@
 pub use outcome::{ObservedOutcome, ObservedRequest, RunCounts, RunOutcome};
 pub use scenario::{Scenario, Step};
 
-/// Clients come once all limiters know the fleet: this long after the clocks begin.
+/// When the load begins, from the beginning of a run. The time before is for limiters to receive the endpoint list.
 const START: Micros = 1_000_000;
 
+/// The state of a run.
 struct World<'a> {
     fleet: &'a Fleet,
     demand: &'a Demand,
     faults: Vec<Fault>,
     changes: Vec<ConfigurationChange>,
-    /// How many of the changes are active.
+    /// Number of `changes` that are active.
     active_changes: usize,
     record: bool,
     seed: u64,
@@ -59,12 +60,12 @@
     limiters: Vec<SimulatedLimiter>,
     attempts: Vec<Attempt>,
     backends: Vec<BackendHost>,
-    /// Until when an idempotency key is known in a scope.
-    keys: HashMap<KeyInScope, Micros>,
+    /// Idempotency keys known in a scope, and until when.
+    keys: HashMap<ScopedKey, Micros>,
     counter: Counter<u64>,
-    /// Until then the counter answers nothing.
+    /// While the quota counter is lost: when it comes back.
     counter_lost_until: Option<Micros>,
-    /// Limiters that clients' load balancer takes for down.
+    /// Whether the clients' load balancer considers a limiter down, by limiter.
     known_down: Vec<bool>,
     network: Stream,
     clients: Stream,
@@ -73,18 +74,19 @@
     scorer: Scorer,
     seconds: Vec<Second>,
     current_second: Second,
-    counter_calls_before: u64,
+    /// Calls to the quota counter up to the last reading of the gauges.
+    last_counter_calls: u64,
     counts: RunCounts,
     observed: Vec<ObservedRequest>,
     observer: &'a mut dyn FnMut(&Step<'_>),
 }
 
-/// Runs a scenario to its end: until every try has its answer.
+/// Runs a scenario until all tries are answered.
 pub fn run(scenario: &Scenario<'_>, seed: u64) -> RunOutcome {
     run_observed(scenario, seed, &mut |_| {})
 }
 
-/// [`run`], with every step of every limiter shown to `observer` in order. The run is the same as without it.
+/// Like [`run`], but calls `observer` for each step of each limiter, in order. The observer does not affect the run.
 pub fn run_observed(scenario: &Scenario<'_>, seed: u64, observer: &mut dyn FnMut(&Step<'_>)) -> RunOutcome {
     let mut world = World::new(scenario, seed, observer);
     world.start_backends();
@@ -99,13 +101,13 @@
 }
 
 impl<'a> World<'a> {
-    /// A world in which nothing has started yet.
+    /// Creates the state of a run before any event.
     fn new(scenario: &Scenario<'a>, seed: u64, observer: &'a mut dyn FnMut(&Step<'_>)) -> World<'a> {
         let Scenario { fleet, demand, .. } = *scenario;
         let locations = fleet.backend_locations();
         let limiter_zones = fleet.limiter_zones();
-        // Some tries come again, and some are sent to more than one backend.
-        let expected_tries = demand.arrivals.len() * 5 / 4;
+        // Allows for retries by clients and for tries with more than one attempt.
+        let expected_count = demand.arrivals.len() * 5 / 4;
         World {
             fleet,
             demand,
@@ -122,9 +124,9 @@
             backends: Vec::with_capacity(locations.len()),
             locations,
             next_arrival: 0,
-            tries: Vec::with_capacity(expected_tries),
+            tries: Vec::with_capacity(expected_count),
             limiters: Vec::with_capacity(limiter_zones.len()),
-            attempts: Vec::with_capacity(expected_tries),
+            attempts: Vec::with_capacity(expected_count),
             keys: HashMap::new(),
             counter: Counter::new(&fleet.counter),
             counter_lost_until: None,
@@ -137,14 +139,14 @@
             scorer: Scorer::new(fleet, START),
             seconds: Vec::new(),
             current_second: Second::default(),
-            counter_calls_before: 0,
+            last_counter_calls: 0,
             counts: RunCounts::default(),
             observed: Vec::new(),
             observer,
         }
     }
 
-    /// Schedules what a scenario fixes in advance.
+    /// Schedules the events that the scenario determines: faults, configuration changes, and the first try.
     fn schedule(&mut self, scenario: &Scenario<'_>) {
         for (index, fault) in scenario.faults.iter().enumerate() {
             let index = index as u32;
@@ -160,12 +162,12 @@
         self.at(START + SECOND, Event::Gauge);
     }
 
-    /// Schedules an event, no earlier than now.
+    /// Schedules an event at the given time, or now if that has passed.
     fn at(&mut self, at: Micros, event: Event) {
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Mixes an event into the digest: when it fell, what it was, and what it concerned.
+    /// Adds an event to the digest of the run: its time, its kind and its subject.
     fn mix_into_digest(&mut self, event: &Event) {
         let fingerprint = event.fingerprint(self.next_arrival);
         self.digest = mix_bits(self.digest ^ mix_bits(self.now ^ mix_bits(fingerprint)));
@@ -201,15 +203,15 @@
             Event::ConfigurationChange { change } => self.activate_change(change),
             Event::FaultBegins { fault } => self.begin_fault(fault),
             Event::FaultEnds { fault } => self.end_fault(fault),
-            Event::LoadBalancerLearns { limiter, is_down, incarnation } => {
-                self.on_limiter_state_learnt(limiter, is_down, incarnation);
+            Event::LoadBalancerDetects { limiter, is_down, incarnation } => {
+                self.on_limiter_state_detected(limiter, is_down, incarnation);
             }
             Event::CounterBack => self.on_counter_back(),
             Event::Gauge => self.read_gauges(),
         }
     }
 
-    /// One way from a limiter to a machine in `zone`, with its jitter.
+    /// Draws the one-way network delay between a limiter and a machine in `zone`.
     fn one_way_delay(&mut self, limiter: u32, zone: usize) -> Micros {
         let delays = &self.fleet.delays;
         let is_same = self.limiter_zones[limiter as usize] == zone;
@@ -217,26 +219,28 @@
         self.jittered(mean)
     }
 
+    /// Draws a network delay with the given mean.
     fn jittered(&mut self, mean: Micros) -> Micros {
         let jitter = self.fleet.delays.jitter;
         let factor = 1.0 + jitter * (2.0 * self.network.random::<f64>() - 1.0);
         ((mean as f64 * factor) as Micros).max(1)
     }
 
-    /// Whether tries may still be open, so that gauges and load reports go on.
+    /// Whether tries may still be open. Until then, gauges and load reports continue.
     fn is_running(&self) -> bool {
-        // A first try and its retry may take a deadline each, and the backoff between them.
-        let longest = self.fleet.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-        self.now < self.end + 2 * longest + self.fleet.clients.backoff
+        // A first try and its retry take at most a deadline each, and the backoff between them.
+        let max_deadline = self.fleet.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        self.now < self.end + 2 * max_deadline + self.fleet.clients.backoff
     }
 
+    /// Completes the gauges of the past second.
     fn read_gauges(&mut self) {
         let mut second = std::mem::take(&mut self.current_second);
         self.gauge_backends(&mut second);
         self.gauge_limiters(&mut second);
         let (calls, _) = self.counter.calls();
-        second.counter = (calls - self.counter_calls_before) as f64 / self.fleet.counter.calls_per_second;
-        self.counter_calls_before = calls;
+        second.counter = (calls - self.last_counter_calls) as f64 / self.fleet.counter.calls_per_second;
+        self.last_counter_calls = calls;
         second.attempts_by_zone.resize(self.fleet.zones.len(), 0);
         if self.now <= self.end {
             self.seconds.push(second);
--- a/crates/model/src/sim/requests.rs
+++ b/crates/model/src/sim/requests.rs
@@ -1,4 +1,4 @@
-//! Requests at limiters, from their receipt to the answer.
+//! Requests at limiters, from receipt to answer.
 
 use sedgestack::{Event as LimiterEvent, Request};
 use sedgestack_fleet::Micros;
@@ -9,11 +9,11 @@
 use super::{ObservedOutcome, ObservedRequest, World, START};
 use crate::streams::mix_bits;
 
-/// The daemon takes this off a client's deadline, for the way back.
+/// Time that a limiter subtracts from a client's deadline for the answer's way back, as the daemon does.
 pub const DEADLINE_MARGIN: Micros = 2_000;
 
 impl World<'_> {
-    /// A try reaches its limiter.
+    /// Handles a try that reaches its limiter.
     pub(super) fn on_request(&mut self, request: u32) {
         let client_try = &mut self.tries[request as usize];
         let number = client_try.limiter;
@@ -43,7 +43,8 @@
         self.deliver(number, LimiterEvent::Request(received), CPU_ARRIVAL);
     }
 
-    /// A dead process refuses the connection; a silent machine says nothing.
+    /// Handles a try for a limiter that is down: the connection is refused, or unanswered if the machine is
+    /// unreachable.
     fn refuse_connection(&mut self, request: u32, number: u32) {
         self.counts.unreached += 1;
         if !self.is_zone_silent(self.limiter_zones[number as usize]) {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A client closed its connection: its limiter is notified.
+    /// Notifies a limiter that a client has closed its connection.
     pub(super) fn on_client_disconnected(&mut self, request: u32) {
         let client_try = &self.tries[request as usize];
         if client_try.is_open && !client_try.is_answered {
@@ -62,8 +63,8 @@
         }
     }
 
-    /// A limiter answers a request, unless it was closed before: a backend's answer may overtake a rejection that is
-    /// decided but not sent yet, as in the daemon.
+    /// Sends the answer of a limiter to a request, unless the request is closed already: a backend's answer may
+    /// overtake a rejection that is decided but not sent yet, as in the daemon.
     pub(super) fn answer(&mut self, request: u32, at: Micros, answer: Answer) {
         let client_try = &self.tries[request as usize];
         if !client_try.is_open {
@@ -74,7 +75,8 @@
             Answer::Rejected { .. } => ObservedOutcome::Rejected,
             Answer::Failed => ObservedOutcome::Failed,
         };
-        // A request beyond its customer's quota slice is rejected the moment it is handled; others waited for capacity.
+        // Requests beyond the customer's quota slice are rejected when they are handled. Those rejected later waited for
+        // capacity.
         let has_waited = client_try.handled_at < self.now;
         if !client_try.is_forwarded && answer != Answer::Served && has_waited {
             self.scorer.record_capacity_shortage(u64::from(client_try.arrival));
@@ -86,21 +88,21 @@
         self.at(at + delay, Event::AtClient { request, answer });
     }
 
-    /// The limiter is done with a request.
+    /// Closes a request at its limiter and counts its outcome.
     fn close_request(&mut self, request: u32, outcome: ObservedOutcome, backend: Option<u32>) {
         let client_try = &mut self.tries[request as usize];
         client_try.is_answered = true;
         client_try.is_open = false;
         let limiter = &mut self.limiters[client_try.limiter as usize];
         limiter.clients = limiter.clients.saturating_sub(1);
-        self.count(outcome);
+        self.count_outcome(outcome);
         if self.record {
             let observed = self.observed_request(request, outcome, backend);
             self.observed.push(observed);
         }
     }
 
-    fn count(&mut self, outcome: ObservedOutcome) {
+    fn count_outcome(&mut self, outcome: ObservedOutcome) {
         let counts = &mut self.counts;
         match outcome {
             ObservedOutcome::Served => counts.served += 1,
--- a/crates/model/src/sim/scenario.rs
+++ b/crates/model/src/sim/scenario.rs
@@ -1,42 +1,42 @@
-//! What a run is made of, and what observers of a run see.
+//! The input of a run, and the steps that its observer receives.
 
 use sedgestack_fleet::{Fleet, Micros};
 
 use crate::demand::Demand;
 use crate::faults::{ConfigurationChange, Fault};
 
-/// What a run is made of.
+/// The input of a run.
 #[derive(Clone, Debug)]
 pub struct Scenario<'a> {
     /// The fleet.
     pub fleet: &'a Fleet,
     /// Every first try of the run.
     pub demand: &'a Demand,
-    /// What goes wrong.
+    /// The faults of the run.
     pub faults: Vec<Fault>,
     /// Changes of the runtime configuration, in order of time.
     pub changes: Vec<ConfigurationChange>,
-    /// Whether what limiters received and answered is recorded
-    /// ([`RunOutcome::observed`](crate::RunOutcome::observed)).
+    /// Whether to record the tries that limiters receive, in
+    /// [`RunOutcome::observed`](crate::RunOutcome::observed).
     pub record: bool,
 }
 
 impl<'a> Scenario<'a> {
-    /// A run without faults.
+    /// Creates a scenario without faults and configuration changes.
     pub fn new(fleet: &'a Fleet, demand: &'a Demand) -> Scenario<'a> {
         Scenario { fleet, demand, faults: Vec::new(), changes: Vec::new(), record: false }
     }
 }
 
-/// One call of a limiter's decisions.
+/// One call of a limiter's decision module.
 #[derive(Clone, Copy, Debug)]
 pub struct Step<'a> {
     /// The limiter's number.
     pub limiter: u32,
-    /// The moment of the call.
+    /// The time of the call.
     pub now: Micros,
-    /// What the limiter was notified of.
+    /// The events that the limiter handled.
     pub events: &'a [sedgestack::Event],
-    /// What it was to do.
+    /// The actions that it decided on.
     pub actions: &'a [sedgestack::Action],
 }
--- a/crates/model/src/tests_support.rs
+++ b/crates/model/src/tests_support.rs
@@ -1,9 +1,9 @@
-//! What unit tests share.
+//! Helpers shared by unit tests.
 
 use sedgestack_fleet::Fleet;
 
-/// The sample fleet.
+/// Returns the sample fleet.
 pub fn sample() -> Fleet {
     let text = include_str!("../../../deploy/fleet-sample.hcl");
-    Fleet::parse("fleet-sample.hcl", text).expect("the sample has no error")
+    Fleet::parse("fleet-sample.hcl", text).expect("the sample fleet file is valid")
 }
--- a/crates/model/tests/quiet_day.rs
+++ b/crates/model/tests/quiet_day.rs
@@ -1,14 +1,16 @@
-//! Quotas over a fleet of many limiters on a quiet day.
+//! Test of quotas in a fleet of many limiters without faults or overload.
 
 use sedgestack_fleet::Fleet;
 use sedgestack_model::{demand, run, Scenario};
 
-/// What is sent on beyond quotas costs at most a tenth of what was asked for inside them, and who has room is served.
+/// Guards against limiters that admit too much or too little when each sees only a small part of a customer's requests:
+/// units forwarded beyond quotas cost at most a tenth of the value asked for within them, and at least 85 % of that
+/// value is served.
 #[test]
-fn a_hundred_limiters_hold_quotas_on_a_quiet_day() {
+fn hundred_limiters_enforce_quotas_without_faults() {
     let text = include_str!("../../../deploy/fleet-sample.hcl");
     let mut fleet = Fleet::parse("fleet-sample.hcl", text)
-        .expect("the sample has no fault")
+        .expect("the sample fleet file is valid")
         .with_backends(60)
         .with_limiters(100);
     for plan in &mut fleet.plans {
@@ -19,9 +21,9 @@
     for seed in 1..=2 {
         let demand = demand::draw(&fleet, seed);
         let score = run(&Scenario::new(&fleet, &demand), seed).score;
-        let price = score.overrun_cost / score.overall.asked;
+        let cost = score.overrun_cost / score.overall.asked;
         let share = score.overall.share();
-        assert!(price <= 0.1, "seed {seed}: a price of {price:.3}, {share:.3} served");
-        assert!(share >= 0.85, "seed {seed}: {share:.3} served, a price of {price:.3}");
+        assert!(cost <= 0.1, "seed {seed}: overrun cost {cost:.3}, value served {share:.3}");
+        assert!(share >= 0.85, "seed {seed}: value served {share:.3}, overrun cost {cost:.3}");
     }
 }
