--- a/crates/model/src/sim/backends.rs
+++ b/crates/model/src/sim/backends.rs
@@ -232,6 +232,7 @@
         }
     }
 
+    /// Sends the outcome of an attempt to its limiter, with the current load report.
     fn send_back(&mut self, index: u32, outcome: Outcome, at: Micros) {
         let attempt = &mut self.attempts[index as usize];
         let (backend, limiter) = (attempt.backend, attempt.limiter);
@@ -299,6 +300,7 @@
         );
     }
 
+    /// Resets the connections of all attempts in flight to a backend.
     fn reset_connections(&mut self, backend: u32) {
         let zone = self.locations[backend as usize].zone;
         for index in 0..self.attempts.len() {
@@ -338,6 +340,7 @@
         }
     }
 
+    /// Creates a new load report of a backend, which answers carry after a delay.
     pub(super) fn renew_load_report(&mut self, backend: u32) {
         let kind = self.kind_of(backend);
         self.advance_backend(backend);
--- a/crates/model/src/sim/counter_calls.rs
+++ b/crates/model/src/sim/counter_calls.rs
@@ -17,7 +17,7 @@
     pub amount: f64,
     /// Time after which a new name expires.
     pub time_to_live: Micros,
-    /// The number of the call, unique for the limiter.
+    /// The number of the call, unique within an incarnation of the limiter.
     pub serial: u64,
 }
 
--- a/crates/model/src/sim/inbox.rs
+++ b/crates/model/src/sim/inbox.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Lets a limiter handle all events in its inbox. The actions are carried out once their CPU time has passed.
+    /// Lets a limiter handle all events in its inbox. The attempts, answers and counter calls that result are sent once
+    /// the CPU time of the events has passed.
     pub(super) fn handle_inbox(&mut self, number: u32, incarnation: u32) {
         let now = self.now;
         let limiter = &mut self.limiters[number as usize];
--- a/crates/model/src/sim/limiters.rs
+++ b/crates/model/src/sim/limiters.rs
@@ -125,6 +125,7 @@
         }
     }
 
+    /// Ends the open tries of a limiter that died. Their clients get an error, unless the zone is unreachable.
     fn lose_open_tries(&mut self, number: u32) {
         let incarnation = self.limiters[number as usize].incarnation;
         let is_silent = self.is_zone_silent(self.limiter_zones[number as usize]);
--- a/crates/model/src/sim/mod.rs
+++ b/crates/model/src/sim/mod.rs
@@ -45,13 +45,16 @@
     changes: Vec<ConfigurationChange>,
     /// Number of `changes` that are active.
     active_changes: usize,
+    /// Whether to record the tries that limiters receive.
     record: bool,
     seed: u64,
     now: Micros,
+    /// When the load ends.
     end: Micros,
     queue: EventQueue,
     digest: u64,
     locations: Vec<BackendLocation>,
+    /// The zone of each limiter.
     limiter_zones: Vec<usize>,
     backend_ids: Vec<sedgestack::BackendId>,
     /// The index of the next first try of the demand.
@@ -70,9 +73,11 @@
     network: Stream,
     clients: Stream,
     discovery: Stream,
+    /// Random stream of the work of attempts, errors, and noise of load reports.
     attempt_draws: Stream,
     scorer: Scorer,
     seconds: Vec<Second>,
+    /// Gauges of the second that has not ended yet.
     current_second: Second,
     /// Calls to the quota counter up to the last reading of the gauges.
     last_counter_calls: u64,
--- a/crates/model/src/sim/outcome.rs
+++ b/crates/model/src/sim/outcome.rs
@@ -93,7 +93,8 @@
     pub seconds: Vec<Second>,
     /// Counts of tries, attempts and crashes.
     pub counts: RunCounts,
-    /// All tries that limiters answered, if the scenario has [`record`](crate::Scenario::record) set.
+    /// The tries that limiters received, except those lost with a limiter. Empty unless
+    /// [`record`](crate::Scenario::record) is set.
     pub observed: Vec<ObservedRequest>,
     /// A hash of all events in order. Runs with the same digest had the same events.
     pub digest: u64,
--- a/crates/model/src/sim/requests.rs
+++ b/crates/model/src/sim/requests.rs
@@ -75,8 +75,8 @@
             Answer::Rejected { .. } => ObservedOutcome::Rejected,
             Answer::Failed => ObservedOutcome::Failed,
         };
-        // Requests beyond the customer's quota slice are rejected when they are handled. Those rejected later waited for
-        // capacity.
+        // Requests beyond the customer's quota slice are rejected when they are handled. Those rejected later have
+        // waited for capacity.
         let has_waited = client_try.handled_at < self.now;
         if !client_try.is_forwarded && answer != Answer::Served && has_waited {
             self.scorer.record_capacity_shortage(u64::from(client_try.arrival));
