--- a/crates/model/src/score/tests.rs
+++ b/crates/model/src/score/tests.rs
@@ -1,9 +1,9 @@
-//! The score of requests that are fed by hand.
+//! Tests of the score with explicit requests.
 
 use super::*;
 
 #[test]
-fn only_units_inside_the_quota_and_answers_in_time_count() {
+fn score_counts_units_within_quota_and_answers_in_time() {
     let fleet = crate::tests_support::sample();
     let mut scorer = Scorer::new(&fleet, 0);
     let asked = |at, units| FirstTry { at, class: 0, plan: 0, customer: 7, units };
@@ -17,13 +17,13 @@
     scorer.record_served(2, 500_000);
     let score = scorer.finish();
     assert_eq!((score.overall.asked, score.overall.in_time), (2.0 * 1.5, 1.5));
-    assert_eq!(score.in_time[0], InTime { let_through: 2, in_time: 1 });
+    assert_eq!(score.in_time[0], InTimeCounts { let_through: 2, in_time: 1 });
     assert_eq!((score.units_inside, score.units_beyond), (6.0, 3.0));
     assert!((score.overrun_cost - 0.6 * 1.5).abs() < 1e-9);
 }
 
 #[test]
-fn the_worst_window_spans_ten_seconds() {
+fn worst_window_spans_ten_seconds() {
     let fleet = crate::tests_support::sample();
     let mut scorer = Scorer::new(&fleet, 0);
     for s in 0..30u64 {
--- a/tests/decisions/model.rs
+++ b/tests/decisions/model.rs
@@ -1,7 +1,7 @@
 //! Runs of the fleet model, which uses real limiters: every step of each of them is recorded.
 
 use sedgestack_fleet::Fleet;
-use sedgestack_model::{demand, run_observed, Fault, RulesChange, Scenario};
+use sedgestack_model::{demand, run_observed, ConfigurationChange, Fault, Scenario};
 
 use crate::recording::{Recorder, Recording};
 
@@ -14,7 +14,7 @@
     checkpoint_every: u64,
     fleet: Fleet,
     faults: Vec<Fault>,
-    changes: Vec<RulesChange>,
+    changes: Vec<ConfigurationChange>,
 }
 
 impl ModelRun {
@@ -57,8 +57,8 @@
     reduced.plans[2].rate /= 10.0;
     reduced.classes[0].latency_objective *= 2;
     let changes = vec![
-        RulesChange { at: 5 * SECOND, rules: reduced },
-        RulesChange { at: 10 * SECOND, rules: sample(16) },
+        ConfigurationChange { at: 5 * SECOND, fleet: reduced },
+        ConfigurationChange { at: 10 * SECOND, fleet: sample(16) },
     ];
     let counter_lost = Fault::CounterLost { at: 3 * SECOND, span: 4 * SECOND };
     let backends_crash = Fault::BackendsCrash { at: 3 * SECOND, span: 4 * SECOND, share: 0.3 };
