--- a/crates/kit/src/prove.rs
+++ b/crates/kit/src/prove.rs
@@ -9,7 +9,7 @@
 use sedgestack_model::run as simulate;
 use sedgestack_plan::Interval;
 use sedgestack_rehearse::scenarios::{self, Scenario};
-use sedgestack_rehearse::Rehearsed;
+use sedgestack_rehearse::RehearsalReport;
 use sedgestack_report::text::table;
 
 use crate::error::KitError;
@@ -62,7 +62,7 @@
 struct Proof<'a> {
     scenario: &'a Scenario,
     predicted: Interval,
-    rehearsed: Rehearsed,
+    rehearsed: RehearsalReport,
 }
 
 impl Proof<'_> {
@@ -100,7 +100,7 @@
             format!("{:.1}%", 100.0 * self.rehearsed_share()),
             format!("{:+.1}%", 100.0 * self.relative_error()),
             format!("{:.1}%", 100.0 * rehearsed.score.in_time[0].share()),
-            rehearsed.fallen.to_string(),
+            rehearsed.warmup_crashes.to_string(),
             format!("{:.1}", rehearsed.lateness_ms),
             self.comparison().name().to_string(),
         ]
--- a/crates/kit/src/rehearse.rs
+++ b/crates/kit/src/rehearse.rs
@@ -9,7 +9,7 @@
 use sedgestack_model::demand::{self, Demand};
 use sedgestack_model::score::worst_in_time;
 use sedgestack_rehearse::scenarios::{self, Scenario};
-use sedgestack_rehearse::{hold, Captures, Rehearsal, Rehearsed};
+use sedgestack_rehearse::{rehearse, Captures, Rehearsal, RehearsalReport};
 use sedgestack_report::text::{table, Table};
 
 use crate::error::KitError;
@@ -133,10 +133,10 @@
     demand: &Demand,
     options: &Options,
     captures: Option<PathBuf>,
-) -> Result<Rehearsed, KitError> {
+) -> Result<RehearsalReport, KitError> {
     let bar = progress_bar();
     bar.set_message(format!("rehearsing {}", scenario.name));
-    let rehearsed = hold(&Rehearsal {
+    let rehearsed = rehearse(&Rehearsal {
         fleet: &scenario.fleet,
         demand,
         faults: &scenario.faults,
@@ -149,7 +149,7 @@
     Ok(rehearsed?)
 }
 
-fn as_json(scenario: &Scenario, rehearsed: &Rehearsed) -> Value {
+fn as_json(scenario: &Scenario, rehearsed: &RehearsalReport) -> Value {
     let fleet = &scenario.fleet;
     let score = &rehearsed.score;
     let class = |(index, class): (usize, &sedgestack_fleet::Class)| {
@@ -164,13 +164,13 @@
         "service": score.overall.share(), "worst_window": score.worst_window, "worth_asked": score.overall.asked,
         "worth_in_time": score.overall.in_time, "classes": classes, "units_beyond": score.units_beyond,
         "units_inside": score.units_inside, "first_tries": rehearsed.first_tries, "retries": rehearsed.retries,
-        "served": rehearsed.served, "refused": rehearsed.refused, "failed": rehearsed.failed,
-        "gave_up": rehearsed.gave_up, "fallen": rehearsed.fallen, "lateness_ms": rehearsed.lateness_ms,
+        "served": rehearsed.served, "refused": rehearsed.rejected, "failed": rehearsed.failed,
+        "gave_up": rehearsed.timed_out, "fallen": rehearsed.warmup_crashes, "lateness_ms": rehearsed.lateness_ms,
         "daemons": rehearsed.daemons
     })
 }
 
-fn print_text(scenario: &Scenario, rehearsed: &Rehearsed) {
+fn print_text(scenario: &Scenario, rehearsed: &RehearsalReport) {
     let workers = scenario.fleet.backend_count();
     println!("Rehearsal of {}: {}, {workers} workers", scenario.name, scenario.about);
     print_totals(rehearsed);
@@ -178,7 +178,7 @@
     println!("{}", daemon_table(rehearsed));
 }
 
-fn print_totals(rehearsed: &Rehearsed) {
+fn print_totals(rehearsed: &RehearsalReport) {
     let score = &rehearsed.score;
     println!(
         "  service {:.1}% (worst 10 s {:.1}%), {} first tries, {} retries; served {}, refused {}, failed {}, gave up {}",
@@ -187,20 +187,20 @@
         rehearsed.first_tries,
         rehearsed.retries,
         rehearsed.served,
-        rehearsed.refused,
+        rehearsed.rejected,
         rehearsed.failed,
-        rehearsed.gave_up
+        rehearsed.timed_out
     );
     println!(
         "  units sent on beyond quotas {:.1}%, cold workers pushed over {}, player late by {:.1} ms at p99{}",
         100.0 * score.units_beyond / (score.units_beyond + score.units_inside).max(1.0),
-        rehearsed.fallen,
+        rehearsed.warmup_crashes,
         rehearsed.lateness_ms,
         if rehearsed.is_void() { ": VOID, the machine was too busy" } else { "" }
     );
 }
 
-fn class_table(fleet: &Fleet, rehearsed: &Rehearsed) -> Table {
+fn class_table(fleet: &Fleet, rehearsed: &RehearsalReport) -> Table {
     let score = &rehearsed.score;
     let percent = |share: f64| format!("{:.1}%", 100.0 * share);
     let row = |(index, class): (usize, &sedgestack_fleet::Class)| {
@@ -219,7 +219,7 @@
     table(&head, fleet.classes.iter().enumerate().map(row).collect())
 }
 
-fn daemon_table(rehearsed: &Rehearsed) -> Table {
+fn daemon_table(rehearsed: &RehearsalReport) -> Table {
     let rows = rehearsed.daemons.iter().map(|daemon| {
         vec![
             daemon.name.clone(),
--- a/crates/rehearse/examples/capture_cost.rs
+++ b/crates/rehearse/examples/capture_cost.rs
@@ -9,7 +9,7 @@
 
 use sedgestack_fleet::Fleet;
 use sedgestack_model::demand;
-use sedgestack_rehearse::{hold, Captures, Rehearsal};
+use sedgestack_rehearse::{rehearse, Captures, Rehearsal};
 
 const RATE: f64 = 1_200.0;
 const WORKERS: u32 = 120;
@@ -34,7 +34,7 @@
     for round in 0..rounds {
         let demand = demand::draw(&fleet, round + 1);
         let with = (round % 2) as u32;
-        let held = hold(&Rehearsal {
+        let held = rehearse(&Rehearsal {
             fleet: &fleet,
             demand: &demand,
             faults: &[],
--- a/crates/rehearse/src/backends/machine.rs
+++ b/crates/rehearse/src/backends/machine.rs
@@ -126,7 +126,7 @@
                     let _ = outcome.send(JobOutcome::QueueFull);
                 }
                 Offer::Fell => {
-                    self.shared.fallen.fetch_add(1, Relaxed);
+                    self.shared.warmup_crashes.fetch_add(1, Relaxed);
                     return Err(Crashed);
                 }
             },
--- a/crates/rehearse/src/backends/mod.rs
+++ b/crates/rehearse/src/backends/mod.rs
@@ -47,7 +47,7 @@
     draws: Mutex<Stream>,
     /// Until when each idempotency key is known.
     keys: Mutex<HashMap<ScopedKey, Instant>>,
-    fallen: AtomicU64,
+    warmup_crashes: AtomicU64,
 }
 
 impl Shared {
@@ -86,7 +86,7 @@
             next_job_id: AtomicU64::new(0),
             draws: Mutex::new(stream(seed, Concern::Attempts, 1)),
             keys: Mutex::default(),
-            fallen: AtomicU64::new(0),
+            warmup_crashes: AtomicU64::new(0),
         });
         let mut slots = Vec::new();
         for (location, speed) in fleet.backend_locations().into_iter().zip(backend_speeds(fleet, seed)) {
@@ -111,8 +111,8 @@
     }
 
     /// Backends that crashed under load while they were warming up.
-    pub fn fallen(&self) -> u64 {
-        self.shared.fallen.load(Relaxed)
+    pub fn warmup_crashes(&self) -> u64 {
+        self.shared.warmup_crashes.load(Relaxed)
     }
 
     /// Ends a backend's process: its port refuses, its connections are reset.
--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -91,7 +91,7 @@
 
 /// How a rehearsal went.
 #[derive(Clone, Debug)]
-pub struct Rehearsed {
+pub struct RehearsalReport {
     /// What the answers were worth, scored as in the model.
     pub score: Score,
     /// The resources that each daemon used.
@@ -105,16 +105,16 @@
     /// Tries that ended with the complete expected response.
     pub served: u64,
     /// Tries that ended with a 429 or 503.
-    pub refused: u64,
+    pub rejected: u64,
     /// Tries that ended with a connection error or any other response.
     pub failed: u64,
     /// Tries that the client abandoned at its timeout.
-    pub gave_up: u64,
+    pub timed_out: u64,
     /// Backends that crashed under load while they were warming up.
-    pub fallen: u64,
+    pub warmup_crashes: u64,
 }
 
-impl Rehearsed {
+impl RehearsalReport {
     /// Whether the machine was too busy for the figures to mean anything.
     pub fn is_void(&self) -> bool {
         self.lateness_ms > VOID_LATENESS_MS
@@ -180,7 +180,7 @@
 ///
 /// # Errors
 /// Where a socket, file or daemon can't be had, or a fault can't be played here.
-pub fn hold(rehearsal: &Rehearsal<'_>) -> Result<Rehearsed, Failure> {
+pub fn rehearse(rehearsal: &Rehearsal<'_>) -> Result<RehearsalReport, Failure> {
     for fault in rehearsal.faults {
         match fault {
             Fault::ZoneLost { silent: true, .. } => return Err(Failure::Unplayable("a silent room")),
@@ -194,7 +194,7 @@
     runtime.map_err(io("runtime"))?.block_on(play(rehearsal))
 }
 
-async fn play(rehearsal: &Rehearsal<'_>) -> Result<Rehearsed, Failure> {
+async fn play(rehearsal: &Rehearsal<'_>) -> Result<RehearsalReport, Failure> {
     let (fleet, seed) = (rehearsal.fleet, rehearsal.seed);
     let request_log = Arc::new(RequestLog::new(fleet));
     let backends = Backends::start(fleet, seed, request_log.clone()).await?;
@@ -214,16 +214,16 @@
     let played = load_player::play(rehearsal, start, &daemons.addresses, request_log.clone()).await;
     faults.abort();
     let daemons = daemons.stop().await?;
-    Ok(Rehearsed {
+    Ok(RehearsalReport {
         score: request_log.finish(),
         daemons,
         lateness_ms: played.lateness_ms,
         first_tries: rehearsal.demand.arrivals.len() as u64,
         retries: played.retries,
         served: played.served,
-        refused: played.refused,
+        rejected: played.rejected,
         failed: played.failed,
-        gave_up: played.gave_up,
-        fallen: backends.fallen(),
+        timed_out: played.timed_out,
+        warmup_crashes: backends.warmup_crashes(),
     })
 }
--- a/crates/rehearse/src/load_player.rs
+++ b/crates/rehearse/src/load_player.rs
@@ -38,9 +38,9 @@
     pub lateness_ms: f64,
     pub retries: u64,
     pub served: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub failed: u64,
-    pub gave_up: u64,
+    pub timed_out: u64,
 }
 
 /// Tries by how they ended.
@@ -50,7 +50,7 @@
     served: AtomicU64,
     rejected: AtomicU64,
     failed: AtomicU64,
-    gave_up: AtomicU64,
+    timed_out: AtomicU64,
 }
 
 struct Clients {
@@ -70,7 +70,7 @@
     /// With how long the limiter asked to wait.
     Rejected(Duration),
     Failed,
-    GaveUp,
+    TimedOut,
 }
 
 /// Plays the demand from `start` on, to its last answer.
@@ -111,9 +111,9 @@
             lateness_ms,
             retries: self.retries.load(Relaxed),
             served: self.served.load(Relaxed),
-            refused: self.rejected.load(Relaxed),
+            rejected: self.rejected.load(Relaxed),
             failed: self.failed.load(Relaxed),
-            gave_up: self.gave_up.load(Relaxed),
+            timed_out: self.timed_out.load(Relaxed),
         }
     }
 }
@@ -173,7 +173,7 @@
             }
             TryOutcome::Rejected(retry_after) => (&self.counters.rejected, Some(retry_after)),
             TryOutcome::Failed => (&self.counters.failed, Some(Duration::ZERO)),
-            TryOutcome::GaveUp => (&self.counters.gave_up, Some(Duration::ZERO)),
+            TryOutcome::TimedOut => (&self.counters.timed_out, Some(Duration::ZERO)),
         };
         counter.fetch_add(1, Relaxed);
         retry_after
@@ -194,7 +194,7 @@
             Some((head, body.to_bytes()))
         };
         match timeout_at(deadline, exchange).await {
-            Err(_) => TryOutcome::GaveUp,
+            Err(_) => TryOutcome::TimedOut,
             Ok(None) => TryOutcome::Failed,
             Ok(Some((head, body))) => try_outcome(&head, &body, &id),
         }
--- a/tests/rehearsal/main.rs
+++ b/tests/rehearsal/main.rs
@@ -9,7 +9,7 @@
 use sedgestack_capture::{merge, read_file, Outcome};
 use sedgestack_fleet::Fleet;
 use sedgestack_model::{demand, Fault};
-use sedgestack_rehearse::{hold, Captures, Failure, Rehearsal, Rehearsed};
+use sedgestack_rehearse::{rehearse, Captures, Failure, Rehearsal, RehearsalReport};
 
 const SECOND: u64 = 1_000_000;
 
@@ -22,7 +22,7 @@
     fleet
 }
 
-fn play(fleet: &Fleet, faults: &[Fault], captures: Option<Captures>) -> Rehearsed {
+fn play(fleet: &Fleet, faults: &[Fault], captures: Option<Captures>) -> RehearsalReport {
     let demand = demand::draw(fleet, 3);
     let rehearsal = Rehearsal {
         fleet,
@@ -33,7 +33,7 @@
         captures,
         progress: &|_| {},
     };
-    hold(&rehearsal).expect("loopback and the daemon are there")
+    rehearse(&rehearsal).expect("loopback and the daemon are there")
 }
 
 #[test]
@@ -43,7 +43,7 @@
     let room = Fault::ZoneLost { at: SECOND, span: SECOND, zone: 0, limiters: false, silent: false };
     let held = play(&fleet, &[room], Some(Captures { folder: folder.clone(), only: Vec::new() }));
     let tries = held.first_tries + held.retries;
-    assert_eq!(tries, held.served + held.refused + held.failed + held.gave_up);
+    assert_eq!(tries, held.served + held.rejected + held.failed + held.timed_out);
     assert!(held.served > 0, "{held:?}");
     let taken: u64 = held.daemons.iter().map(|d| d.taken).sum();
     assert!(taken <= tries && taken > 0);
@@ -58,7 +58,7 @@
     let merged = merge(captures).expect("one tier");
     let served = merged.records.iter().filter(|r| r.outcome == Outcome::Served).count() as u64;
     // A client that gives up as its answer is under way is served to its limiter alone.
-    assert!((held.served..=held.served + held.gave_up).contains(&served), "{served} {held:?}");
+    assert!((held.served..=held.served + held.timed_out).contains(&served), "{served} {held:?}");
     let customers: std::collections::BTreeSet<u64> = merged.records.iter().map(|r| r.customer).collect();
     let asked: Vec<u64> = demand::draw(&fleet, 3).arrivals.iter().map(|a| a.customer).collect();
     assert!(customers.iter().all(|c| !asked.contains(c)), "a capture tells no customer's id");
@@ -81,7 +81,7 @@
             captures: None,
             progress: &|_| {},
         };
-        hold(&rehearsal).expect_err("it can't be held")
+        rehearse(&rehearsal).expect_err("it can't be held")
     };
     assert!(matches!(missing(&silent), Failure::Unplayable(_)));
     let told = missing(&[]).to_string();
