--- a/crates/rehearse/src/counter.rs
+++ b/crates/rehearse/src/counter.rs
@@ -33,12 +33,12 @@
 
 impl Counter {
     /// From now on it answers nothing.
-    pub fn lose(&self) {
+    pub fn stop_answering(&self) {
         self.shared.lost.store(true, Relaxed);
     }
 
     /// It answers again, empty.
-    pub fn back(&self) {
+    pub fn resume_empty(&self) {
         locked(&self.shared.machine).empty();
         self.shared.lost.store(false, Relaxed);
     }
--- a/crates/rehearse/src/counter/tests.rs
+++ b/crates/rehearse/src/counter/tests.rs
@@ -22,7 +22,7 @@
     for expected in ["ok 2", "ok 3.5", "pong", "error"] {
         assert_eq!(lines.next_line().await.expect("a line").as_deref(), Some(expected));
     }
-    counter.back();
+    counter.resume_empty();
     stream.write_all(b"add a 1 4000\r\n").await.expect("it reads");
     let mut lines = BufReader::new(&mut stream).lines();
     assert_eq!(lines.next_line().await.expect("a line").as_deref(), Some("ok 1"));
--- a/crates/rehearse/src/fault_player.rs
+++ b/crates/rehearse/src/fault_player.rs
@@ -44,7 +44,7 @@
             match event {
                 Event::FaultBegins(n) => self.begin(&faults[n]),
                 Event::FaultEnds(n) => self.end(&faults[n]).await,
-                Event::CounterIsBack => self.counter.back(),
+                Event::CounterIsBack => self.counter.resume_empty(),
             }
         }
     }
@@ -73,7 +73,7 @@
             self.discovery.remove(backend);
         }
         if matches!(fault, Fault::CounterLost { .. }) || self.takes_counter_zone(fault) {
-            self.counter.lose();
+            self.counter.stop_answering();
         }
     }
 
@@ -84,7 +84,7 @@
             }
         }
         if matches!(fault, Fault::CounterLost { .. }) {
-            self.counter.back();
+            self.counter.resume_empty();
         }
     }
 }
--- a/crates/rehearse/src/tier/fault_injection.rs
+++ b/crates/rehearse/src/tier/fault_injection.rs
@@ -24,7 +24,7 @@
 
     /// From now on the quota counter responds to nothing.
     pub fn lose_counter(&self) {
-        self.stand_ins.counter.lose();
+        self.stand_ins.counter.stop_answering();
     }
 
     /// The links between limiters and to services.
