--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -168,7 +168,7 @@
     #[error(
         "{0} can't be rehearsed on loopback yet: a limiter's or a silent machine's loss needs the model"
     )]
-    Unplayable(&'static str),
+    UnsupportedFault(&'static str),
 }
 
 fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> Failure {
@@ -183,9 +183,9 @@
 pub fn rehearse(rehearsal: &Rehearsal<'_>) -> Result<RehearsalReport, Failure> {
     for fault in rehearsal.faults {
         match fault {
-            Fault::ZoneLost { silent: true, .. } => return Err(Failure::Unplayable("a silent room")),
+            Fault::ZoneLost { silent: true, .. } => return Err(Failure::UnsupportedFault("a silent room")),
             Fault::ZoneLost { limiters: true, .. } => {
-                return Err(Failure::Unplayable("a room with limiters"))
+                return Err(Failure::UnsupportedFault("a room with limiters"))
             }
             _ => {}
         }
--- a/tests/rehearsal/main.rs
+++ b/tests/rehearsal/main.rs
@@ -83,7 +83,7 @@
         };
         rehearse(&rehearsal).expect_err("it can't be held")
     };
-    assert!(matches!(missing(&silent), Failure::Unplayable(_)));
+    assert!(matches!(missing(&silent), Failure::UnsupportedFault(_)));
     let told = missing(&[]).to_string();
     assert!(told.starts_with("/nowhere/sedgestack: "), "{told}");
 }
