--- a/crates/rehearse/src/backends/connection.rs
+++ b/crates/rehearse/src/backends/connection.rs
@@ -1,4 +1,4 @@
-//! One connection from a limiter to a backend, and how its requests are answered.
+//! A connection from a limiter to a backend, and the responses to its requests.
 
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -22,58 +22,60 @@
 use sedgestack_model::backend::Job;
 use sedgestack_model::{attempt_noise, REPEAT_WORK};
 
-use super::machine::{JobOutcome, Order};
+use super::machine::{Command, JobOutcome};
 use super::{ScopedKey, Shared};
 use crate::request_log::RequestDetails;
 use crate::sync::locked;
 
-/// The largest body that is read.
-const LARGEST_BODY: usize = 64 << 10;
-/// A request that names no deadline expires after this.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(600);
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// Deadline of a request without a valid `x-deadline-ms` header.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(600);
 
-/// One connection from a limiter.
+/// A connection from a limiter.
 pub struct Connection {
     shared: Arc<Shared>,
     location: BackendLocation,
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
     load_report: Arc<Mutex<String>>,
-    /// No request has come on it yet.
+    /// Whether the connection has carried no request yet.
     is_fresh: AtomicBool,
 }
 
-/// Whether a rejected request may have had an effect.
+/// Whether a request may have been processed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Execution {
+    /// The request was not processed; the response says so.
     NotRun,
+    /// The response does not say.
     Unknown,
 }
 
 /// Serves a connection until it is closed.
 pub async fn serve(stream: TcpStream, connection: Arc<Connection>) {
     let _ = stream.set_nodelay(true);
-    // A process that crashes resets its connections.
+    // Closing the connection resets it, as when a process crashes.
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     let service = service_fn(move |request| {
         let connection = connection.clone();
         async move { Ok::<_, Infallible>(connection.respond(request).await) }
     });
     let served = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-    // How it ended is the limiter's to record.
+    // The limiter records how the connection ended.
     let _ = served.await;
 }
 
-/// Cancels a job whose sender goes away before its answer.
+/// Cancels a job when it is dropped before the job's outcome is known, because the limiter closed the connection.
 struct CancelOnDrop {
     id: u64,
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
     is_answered: bool,
 }
 
 impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         if !self.is_answered {
-            let _ = self.orders.try_send(Order::Cancel(self.id));
+            let _ = self.commands.try_send(Command::Cancel(self.id));
         }
     }
 }
@@ -82,10 +84,10 @@
     pub fn new(
         shared: Arc<Shared>,
         location: BackendLocation,
-        orders: mpsc::Sender<Order>,
+        commands: mpsc::Sender<Command>,
         load_report: Arc<Mutex<String>>,
     ) -> Connection {
-        Connection { shared, location, orders, load_report, is_fresh: AtomicBool::new(true) }
+        Connection { shared, location, commands, load_report, is_fresh: AtomicBool::new(true) }
     }
 
     async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
@@ -93,17 +95,17 @@
         let Some(id) = header(&head, "x-request-id") else {
             return self.response(StatusCode::NOT_FOUND, Execution::Unknown, String::new());
         };
-        if Limited::new(body, LARGEST_BODY).collect().await.is_err() {
+        if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
             return self.response(StatusCode::BAD_REQUEST, Execution::Unknown, String::new());
         }
         let Some(details) = self.shared.request_log.record_arrival(id) else {
             return self.response(StatusCode::BAD_REQUEST, Execution::Unknown, String::new());
         };
-        let work = self.work_of(&details);
-        let fails = self.draw_failure();
+        let work = self.compute_work(&details);
+        let should_fail = self.draw_failure();
         let job = self.new_job(work, deadline(&head));
         match self.run_job(job).await {
-            Some(JobOutcome::Done) if fails => {
+            Some(JobOutcome::Done) if should_fail => {
                 self.response(StatusCode::INTERNAL_SERVER_ERROR, Execution::Unknown, String::new())
             }
             Some(JobOutcome::Done) => {
@@ -122,11 +124,11 @@
         &self.shared.fleet.backend_kinds[self.location.kind]
     }
 
-    /// How much work a request is here: with the attempt's noise, or hardly any for a known idempotency key, and with
-    /// the handshake of a new connection.
-    fn work_of(&self, details: &RequestDetails) -> f64 {
+    /// Computes the work of an attempt: the request's work with random noise, or only a lookup for a known idempotency
+    /// key, plus the handshake on a new connection.
+    fn compute_work(&self, details: &RequestDetails) -> f64 {
         let class = &self.shared.fleet.classes[details.class];
-        let mut work = details.work * attempt_noise(class, &mut locked(&self.shared.draws));
+        let mut work = details.work * attempt_noise(class, &mut locked(&self.shared.rng));
         if let Idempotency::IdempotencyKey { scope, window } = class.idempotency {
             if self.is_repeat(details.arrival, scope, Duration::from_micros(window)) {
                 work = REPEAT_WORK;
@@ -138,7 +140,7 @@
         work
     }
 
-    /// Whether an idempotency key is known in its scope; an unknown one is from now on.
+    /// Whether an idempotency key is known in its scope. Stores an unknown key for the length of the window.
     fn is_repeat(&self, arrival: u64, scope: KeyScope, window: Duration) -> bool {
         let scope = match scope {
             KeyScope::Pod => self.location.pod,
@@ -155,9 +157,10 @@
         false
     }
 
+    /// Draws whether an attempt fails after it was processed.
     fn draw_failure(&self) -> bool {
         let share = self.kind().error_share;
-        share > 0.0 && locked(&self.shared.draws).random::<f64>() < share
+        share > 0.0 && locked(&self.shared.rng).random::<f64>() < share
     }
 
     fn new_job(&self, work: f64, deadline: Duration) -> Job {
@@ -166,14 +169,14 @@
         Job { id, work, expires: expires.as_micros() as Micros }
     }
 
-    /// Hands a job to the state machine and waits for its outcome; `None` where the machine takes no more orders.
+    /// Submits a job to the state machine and waits for its outcome. Returns `None` if the machine has stopped.
     async fn run_job(&self, job: Job) -> Option<JobOutcome> {
         let (outcome, receiver) = oneshot::channel();
-        self.orders.send(Order::Offer { job, outcome }).await.ok()?;
-        let mut guard = CancelOnDrop { id: job.id, orders: self.orders.clone(), is_answered: false };
+        self.commands.send(Command::Submit { job, outcome }).await.ok()?;
+        let mut guard = CancelOnDrop { id: job.id, commands: self.commands.clone(), is_answered: false };
         let outcome = receiver.await;
         guard.is_answered = true;
-        // A machine that ends with the job in work runs it no further.
+        // A machine that stops while a job is running does not complete it.
         Some(outcome.unwrap_or(JobOutcome::Expired))
     }
 
@@ -197,5 +200,5 @@
 
 fn deadline(head: &Parts) -> Duration {
     let deadline_ms = header(head, "x-deadline-ms").and_then(|text| text.parse().ok());
-    deadline_ms.map_or(LONGEST_DEADLINE, Duration::from_millis)
+    deadline_ms.map_or(DEFAULT_DEADLINE, Duration::from_millis)
 }
--- a/crates/rehearse/src/backends/machine.rs
+++ b/crates/rehearse/src/backends/machine.rs
@@ -1,4 +1,4 @@
-//! A backend's state machine, run against the clock.
+//! Runs a backend's state machine in real time.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering::Relaxed;
@@ -15,39 +15,45 @@
 use super::Shared;
 use crate::sync::locked;
 
-/// What becomes of a request.
+/// How a job ended.
 pub enum JobOutcome {
     Done,
-    /// Never begun, as its sender had given up.
+    /// The job was not processed before its deadline.
     Expired,
     QueueFull,
 }
 
-/// What connections ask of the machine.
-pub enum Order {
-    Offer { job: Job, outcome: oneshot::Sender<JobOutcome> },
+/// Commands from connections to the machine.
+pub enum Command {
+    Submit {
+        job: Job,
+        outcome: oneshot::Sender<JobOutcome>,
+    },
+    /// Cancels the job with this id.
     Cancel(u64),
 }
 
-/// A load report that becomes visible after the platform's delay.
+/// A load report that responses carry only after a delay.
 struct DelayedReport {
     visible_at: Instant,
     text: String,
 }
 
-/// The state machine and who waits for it.
+/// A backend's state machine and the connections that wait for its jobs.
 pub struct Machine {
     backend: SimulatedBackend,
     kind: BackendKind,
     shared: Arc<Shared>,
-    /// The report that responses carry.
+    /// The load report that responses carry.
     load_report: Arc<Mutex<String>>,
-    next_report: Option<DelayedReport>,
-    report_at: Instant,
+    /// The newest load report, until its delay is over.
+    pending_report: Option<DelayedReport>,
+    next_report_at: Instant,
+    /// Where to send the outcome of each unfinished job, by job id.
     waiting: HashMap<u64, oneshot::Sender<JobOutcome>>,
 }
 
-/// The process crashed.
+/// The backend crashed under too much load during warm-up.
 struct Crashed;
 
 impl Machine {
@@ -62,17 +68,25 @@
         let now = shared.now();
         let started = is_cold.then_some(now);
         let backend = SimulatedBackend::new(&kind, &shared.fleet.rules, speed, started, now);
-        let report_at = Instant::now() + Duration::from_micros(kind.report_every);
-        Machine { backend, kind, shared, load_report, next_report: None, report_at, waiting: HashMap::new() }
+        let next_report_at = Instant::now() + Duration::from_micros(kind.report_every);
+        Machine {
+            backend,
+            kind,
+            shared,
+            load_report,
+            pending_report: None,
+            next_report_at,
+            waiting: HashMap::new(),
+        }
     }
 
     /// Runs until the mailbox is closed or the backend crashes.
-    pub async fn run(mut self, mut mailbox: mpsc::Receiver<Order>) {
+    pub async fn run(mut self, mut mailbox: mpsc::Receiver<Command>) {
         loop {
-            let order = tokio::select! {
+            let command = tokio::select! {
                 biased;
-                order = mailbox.recv() => match order {
-                    Some(order) => Some(order),
+                command = mailbox.recv() => match command {
+                    Some(command) => Some(command),
                     None => return,
                 },
                 () = sleep_until(self.wake_at()) => None,
@@ -80,19 +94,19 @@
             let now = Instant::now();
             self.finish_jobs();
             self.update_load_report(now);
-            if let Some(order) = order {
-                if self.handle(order).is_err() {
+            if let Some(command) = command {
+                if self.handle(command).is_err() {
                     return;
                 }
             }
         }
     }
 
-    /// When something is due without an order.
+    /// When the machine has to act without a command.
     fn wake_at(&self) -> Instant {
         let job_due = self.backend.next().map(|at| self.shared.origin + Duration::from_micros(at));
-        let report_visible = self.next_report.as_ref().map(|report| report.visible_at);
-        [job_due, report_visible].into_iter().flatten().fold(self.report_at, Instant::min)
+        let report_visible = self.pending_report.as_ref().map(|report| report.visible_at);
+        [job_due, report_visible].into_iter().flatten().fold(self.next_report_at, Instant::min)
     }
 
     fn finish_jobs(&mut self) {
@@ -106,19 +120,19 @@
     }
 
     fn update_load_report(&mut self, now: Instant) {
-        if let Some(report) = self.next_report.take_if(|report| report.visible_at <= now) {
+        if let Some(report) = self.pending_report.take_if(|report| report.visible_at <= now) {
             *locked(&self.load_report) = report.text;
         }
-        if now >= self.report_at {
-            self.report_at = now + Duration::from_micros(self.kind.report_every);
+        if now >= self.next_report_at {
+            self.next_report_at = now + Duration::from_micros(self.kind.report_every);
             let visible_at = now + Duration::from_micros(self.kind.report_delay);
-            self.next_report = Some(DelayedReport { visible_at, text: self.report() });
+            self.pending_report = Some(DelayedReport { visible_at, text: self.report() });
         }
     }
 
-    fn handle(&mut self, order: Order) -> Result<(), Crashed> {
-        match order {
-            Order::Offer { job, outcome } => match self.backend.offer(job) {
+    fn handle(&mut self, command: Command) -> Result<(), Crashed> {
+        match command {
+            Command::Submit { job, outcome } => match self.backend.offer(job) {
                 Offer::Begun | Offer::Waits => {
                     self.waiting.insert(job.id, outcome);
                 }
@@ -130,7 +144,7 @@
                     return Err(Crashed);
                 }
             },
-            Order::Cancel(id) => {
+            Command::Cancel(id) => {
                 if self.backend.cancel(id) {
                     self.waiting.remove(&id);
                 }
@@ -139,11 +153,12 @@
         Ok(())
     }
 
-    /// A load report with the noise that the fleet file describes.
+    /// Formats a load report, with random noise as configured in the fleet file.
     fn report(&mut self) -> String {
         let report = self.backend.report();
-        let noise = Normal::new(1.0, self.kind.report_noise).expect("a checked spread is finite");
-        let factor: f64 = noise.sample(&mut *locked(&self.shared.draws)).max(0.0);
+        let noise =
+            Normal::new(1.0, self.kind.report_noise).expect("a validated standard deviation is finite");
+        let factor: f64 = noise.sample(&mut *locked(&self.shared.rng)).max(0.0);
         let utilization = (report.utilization * factor).clamp(0.0, 1.0);
         format!("util={utilization:.3},latency_ms={:.2}", report.latency * factor / 1e3)
     }
--- a/crates/rehearse/src/backends/mod.rs
+++ b/crates/rehearse/src/backends/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in backends: the platform's HTTP in front of the model's state machine, stepped in real time.
+//! Stand-in backends: serve the model's state machine, stepped in real time, over the platform's HTTP interface.
 
 mod connection;
 mod machine;
@@ -25,44 +25,48 @@
 use connection::Connection;
 use machine::Machine;
 
-/// Orders that may wait in a backend's mailbox.
-const MAILBOX: usize = 4_096;
-/// Connections that may wait to be accepted by a backend that was restarted.
+/// Maximum number of commands in a backend's mailbox.
+const MAILBOX_CAPACITY: usize = 4_096;
+/// Listen backlog of a restarted backend.
 const BACKLOG: u32 = 1_024;
 
 /// An idempotency key within its scope.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct ScopedKey {
+    /// Index of the request in the demand, which stands for the key.
     arrival: u64,
-    /// The pod, the zone, or 0 for a scope of all backends.
+    /// Number of the pod or zone, or 0 if all backends share keys.
     scope: u32,
 }
 
-/// What all backends share.
+/// State shared by all backends.
 struct Shared {
     fleet: Fleet,
     request_log: Arc<RequestLog>,
+    /// Zero of the model's clock.
     origin: Instant,
     next_job_id: AtomicU64,
-    draws: Mutex<Stream>,
-    /// Until when each idempotency key is known.
+    rng: Mutex<Stream>,
+    /// When each idempotency key expires.
     keys: Mutex<HashMap<ScopedKey, Instant>>,
+    /// Number of backend crashes caused by too much load during warm-up.
     warmup_crashes: AtomicU64,
 }
 
 impl Shared {
-    /// Microseconds since the start, as the model counts time.
+    /// The current time on the model's clock.
     fn now(&self) -> Micros {
         self.origin.elapsed().as_micros() as Micros
     }
 }
 
-/// A backend's process: once this is dropped its port refuses and its connections are reset.
+/// A simulated backend process. Dropping it closes the listener and resets all connections.
 struct Process {
     _alive: oneshot::Sender<()>,
 }
 
-struct Slot {
+/// The place of a backend in the fleet, with the process that currently runs there.
+struct BackendSlot {
     location: BackendLocation,
     speed: f64,
     address: SocketAddr,
@@ -73,35 +77,35 @@
 #[derive(Clone)]
 pub struct Backends {
     shared: Arc<Shared>,
-    slots: Arc<Mutex<Vec<Slot>>>,
+    slots: Arc<Mutex<Vec<BackendSlot>>>,
 }
 
 impl Backends {
-    /// Starts every backend of a fleet, warmed up, each on a port of its own.
+    /// Starts every backend of a fleet on its own port, already warmed up.
     pub async fn start(fleet: &Fleet, seed: u64, request_log: Arc<RequestLog>) -> Result<Backends, Failure> {
         let shared = Arc::new(Shared {
             fleet: fleet.clone(),
             request_log,
             origin: Instant::now(),
             next_job_id: AtomicU64::new(0),
-            draws: Mutex::new(stream(seed, Concern::Attempts, 1)),
+            rng: Mutex::new(stream(seed, Concern::Attempts, 1)),
             keys: Mutex::default(),
             warmup_crashes: AtomicU64::new(0),
         });
         let mut slots = Vec::new();
         for (location, speed) in fleet.backend_locations().into_iter().zip(backend_speeds(fleet, seed)) {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("a backend's socket"))?;
-            let address = listener.local_addr().map_err(io("a backend's address"))?;
+            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("backend socket"))?;
+            let address = listener.local_addr().map_err(io("backend address"))?;
             let process = Some(start_process(shared.clone(), location, speed, listener, false));
-            slots.push(Slot { location, speed, address, process });
+            slots.push(BackendSlot { location, speed, address, process });
         }
         Ok(Backends { shared, slots: Arc::new(Mutex::new(slots)) })
     }
 
-    /// The backends as discovery names them.
+    /// Returns the endpoints as discovery lists them.
     pub fn endpoints(&self) -> Vec<Value> {
         let fleet = &self.shared.fleet;
-        let endpoint = |(n, slot): (usize, &Slot)| {
+        let endpoint = |(n, slot): (usize, &BackendSlot)| {
             let location = &slot.location;
             json!({"id": format!("w{n}"), "addr": slot.address.to_string(), "cell": location.pod,
                    "zone": fleet.zones[location.zone].name, "state": "Ready", "weight": 1.0,
@@ -110,18 +114,18 @@
         locked(&self.slots).iter().enumerate().map(endpoint).collect()
     }
 
-    /// Backends that crashed under load while they were warming up.
+    /// Returns the number of backend crashes caused by too much load during warm-up.
     pub fn warmup_crashes(&self) -> u64 {
         self.shared.warmup_crashes.load(Relaxed)
     }
 
-    /// Ends a backend's process: its port refuses, its connections are reset.
+    /// Kills a backend's process: its port refuses connections, and open connections are reset.
     pub fn kill(&self, backend: usize) {
         locked(&self.slots)[backend].process = None;
     }
 
-    /// Starts a backend's process again at the same address, to be warmed up: when, in Unix milliseconds. `None`
-    /// where its port could not be had again.
+    /// Restarts a backend's process at the same address; it has to warm up. Returns the time of the start in Unix
+    /// milliseconds, or `None` if the port could not be bound again.
     pub async fn restart(&self, backend: usize) -> Option<u64> {
         let (location, speed, address) = {
             let slots = locked(&self.slots);
@@ -134,12 +138,12 @@
         let listener = socket.listen(BACKLOG).ok()?;
         let process = start_process(self.shared.clone(), location, speed, listener, true);
         locked(&self.slots)[backend].process = Some(process);
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Some(since.as_millis() as u64)
+        let started_at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Some(started_at.as_millis() as u64)
     }
 }
 
-/// Starts one backend's process: a listener, its connections, and the state machine that they feed.
+/// Starts a backend's process: its listener, its connections, and the state machine that processes their requests.
 fn start_process(
     shared: Arc<Shared>,
     location: BackendLocation,
@@ -147,16 +151,16 @@
     listener: TcpListener,
     is_cold: bool,
 ) -> Process {
-    let (orders, mailbox) = mpsc::channel(MAILBOX);
+    let (commands, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
     let load_report = Arc::new(Mutex::new(String::new()));
     let machine = Machine::new(shared.clone(), location, speed, is_cold, load_report.clone());
     let (alive, ended) = oneshot::channel::<()>();
     let max_connections = shared.fleet.backend_kinds[location.kind].connections as usize;
     let new_connection =
-        move || Connection::new(shared.clone(), location, orders.clone(), load_report.clone());
+        move || Connection::new(shared.clone(), location, commands.clone(), load_report.clone());
     tokio::spawn(async move {
         tokio::select! {
-            // The machine ends where it crashed, and everything of the process with it.
+            // A crash of the machine ends the listener and all connections as well.
             () = machine.run(mailbox) => {}
             _ = ended => {}
             () = accept(listener, max_connections, new_connection) => {}
@@ -165,7 +169,7 @@
     Process { _alive: alive }
 }
 
-/// Accepts connections as long as the process lives; those beyond its limit are closed at once.
+/// Accepts connections while the process is alive, and closes those beyond its limit at once.
 async fn accept(listener: TcpListener, max_connections: usize, new_connection: impl Fn() -> Connection) {
     let mut connections = JoinSet::new();
     loop {
--- a/crates/rehearse/src/discovery.rs
+++ b/crates/rehearse/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The stand-in for discovery: the platform's protocol, with an agent for each limiter that learns of each change after
-//! a delay of its own.
+//! The stand-in for discovery: implements the platform's protocol with an agent for each limiter. Each agent learns of
+//! a change after its own random delay.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -25,15 +25,16 @@
 use crate::sync::locked;
 use crate::{io, Failure};
 
-/// An idle watch carries an empty line this often.
+/// Interval of the empty lines sent on an idle watch.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// Lines of a watch that may wait to be written.
-const WATCH_LINES: usize = 16;
+/// Maximum number of lines of a watch that wait to be written.
+const MAX_PENDING_LINES: usize = 16;
 
-/// What one limiter's agent knows: every change since the first endpoint list, in order.
+/// The endpoint list of one limiter's agent.
 struct Agent {
     endpoints: Vec<Value>,
+    /// The changes since version 1, in order.
     changes: Vec<Value>,
 }
 
@@ -46,7 +47,7 @@
         json!({"version": self.version(), "full": true, "servers": self.endpoints})
     }
 
-    /// What a watch that has seen a version is to be sent; `None` where nothing changed since.
+    /// Returns the update for a watch that has received `version`, or `None` if nothing changed since then.
     fn update_since(&self, version: usize) -> Option<Value> {
         let current = self.version();
         if version == 0 || version > current {
@@ -55,8 +56,8 @@
         if version == current {
             return None;
         }
-        let servers = &self.changes[version - 1..];
-        Some(json!({"version": current, "full": false, "servers": servers}))
+        let changes = &self.changes[version - 1..];
+        Some(json!({"version": current, "full": false, "servers": changes}))
     }
 
     fn apply(&mut self, endpoint: Value) {
@@ -68,19 +69,20 @@
     }
 }
 
-/// An agent, and the version that its watches wait on.
+/// An agent, and the channel that notifies its watches of new versions.
 struct AgentSlot {
     agent: Mutex<Agent>,
     version: watch::Sender<usize>,
 }
 
-/// An endpoint, and the number of its last change: a delayed notice of an earlier change is dropped.
+/// An endpoint's current record.
 struct Endpoint {
     record: Value,
+    /// Number of the endpoint's last change. An agent that has yet to apply an earlier change skips it.
     last_change: u64,
 }
 
-/// How long a change takes to reach an agent.
+/// Range of the time that a change takes to reach an agent.
 #[derive(Clone, Copy)]
 struct DelayRange {
     low: Micros,
@@ -92,9 +94,9 @@
         DelayRange { low, high }
     }
 
-    fn draw(self, draws: &Mutex<Stream>) -> Duration {
+    fn draw(self, rng: &Mutex<Stream>) -> Duration {
         let delay =
-            if self.high > self.low { locked(draws).random_range(self.low..=self.high) } else { self.low };
+            if self.high > self.low { locked(rng).random_range(self.low..=self.high) } else { self.low };
         Duration::from_micros(delay)
     }
 }
@@ -102,21 +104,21 @@
 struct Shared {
     agents: Vec<AgentSlot>,
     endpoints: Mutex<Vec<Endpoint>>,
-    draws: Mutex<Stream>,
+    rng: Mutex<Stream>,
     removal_delay: DelayRange,
     addition_delay: DelayRange,
 }
 
-/// Discovery that runs.
+/// Running discovery agents.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Each limiter's agent.
+    /// Address of each limiter's agent.
     pub addresses: Vec<SocketAddr>,
     shared: Arc<Shared>,
 }
 
 impl Discovery {
-    /// Starts an agent for each limiter; all know `endpoints` from the start.
+    /// Starts an agent for each limiter, with `endpoints` as version 1 of its list.
     pub async fn start(fleet: &Fleet, seed: u64, endpoints: Vec<Value>) -> Result<Discovery, Failure> {
         let agent = |_| AgentSlot {
             agent: Mutex::new(Agent { endpoints: endpoints.clone(), changes: Vec::new() }),
@@ -127,25 +129,25 @@
         let shared = Arc::new(Shared {
             agents,
             endpoints: Mutex::new(endpoints),
-            draws: Mutex::new(stream(seed, Concern::Roster, 0)),
+            rng: Mutex::new(stream(seed, Concern::Roster, 0)),
             removal_delay: DelayRange::new(fleet.discovery.notice),
             addition_delay: DelayRange::new(fleet.discovery.add),
         });
         let mut addresses = Vec::new();
         for number in 0..fleet.limiter_count() as usize {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("an agent's socket"))?;
-            addresses.push(listener.local_addr().map_err(io("an agent's address"))?);
+            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("discovery agent socket"))?;
+            addresses.push(listener.local_addr().map_err(io("discovery agent address"))?);
             tokio::spawn(serve(listener, shared.clone(), number));
         }
         Ok(Discovery { addresses, shared })
     }
 
-    /// A backend's process is gone: each agent learns of it after its delay.
+    /// Marks a backend as gone. Each agent learns of it after a random delay.
     pub fn remove(&self, backend: usize) {
         self.announce(backend, self.shared.removal_delay, |record| record["state"] = "Gone".into());
     }
 
-    /// A backend's process runs again, started at a Unix millisecond.
+    /// Marks a backend as ready again, with the time of its start in Unix milliseconds.
     pub fn add_back(&self, backend: usize, started_ms: u64) {
         self.announce(backend, self.shared.addition_delay, |record| {
             record["state"] = "Ready".into();
@@ -153,7 +155,7 @@
         });
     }
 
-    /// Changes an endpoint, and sends the change to each agent after a delay of its own.
+    /// Changes an endpoint's record, and delivers the change to each agent after a random delay.
     fn announce(&self, backend: usize, delay: DelayRange, change: impl FnOnce(&mut Value)) {
         let (record, change_number) = {
             let mut endpoints = locked(&self.shared.endpoints);
@@ -163,7 +165,7 @@
             (endpoint.record.clone(), endpoint.last_change)
         };
         for number in 0..self.shared.agents.len() {
-            let delay = delay.draw(&self.shared.draws);
+            let delay = delay.draw(&self.shared.rng);
             let (shared, record) = (self.shared.clone(), record.clone());
             tokio::spawn(async move {
                 sleep(delay).await;
@@ -176,7 +178,7 @@
 }
 
 impl AgentSlot {
-    /// Applies a change and wakes the watches.
+    /// Applies a change and notifies the watches.
     fn apply(&self, record: Value) {
         let version = {
             let mut agent = locked(&self.agent);
@@ -187,7 +189,7 @@
     }
 }
 
-/// Accepts connections at one agent.
+/// Serves the connections to one agent.
 async fn serve(listener: TcpListener, shared: Arc<Shared>, number: usize) {
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
@@ -216,7 +218,7 @@
         return Ok(text_response(StatusCode::OK, list.to_string()));
     }
     let version = parameter("index").and_then(|index| index.parse().ok()).unwrap_or(0);
-    let (lines, body) = mpsc::channel(WATCH_LINES);
+    let (lines, body) = mpsc::channel(MAX_PENDING_LINES);
     tokio::spawn(write_watch(shared, number, version, lines));
     Ok(Response::new(Lines(body).boxed()))
 }
@@ -227,7 +229,7 @@
     response
 }
 
-/// Writes what changed after `version`, and then each change as it comes.
+/// Writes the changes after `version` to a watch, and then each further change.
 async fn write_watch(
     shared: Arc<Shared>,
     number: usize,
@@ -247,12 +249,12 @@
         if lines.send(Frame::data(Bytes::from(line))).await.is_err() {
             return;
         }
-        // An idle watch carries heartbeats; a change is written at once.
+        // Writes a change at once, or a heartbeat if there is none.
         let _ = timeout(HEARTBEAT, changed.changed()).await;
     }
 }
 
-/// The lines of a watch as a body.
+/// The lines of a watch as a response body.
 struct Lines(mpsc::Receiver<Frame<Bytes>>);
 
 impl hyper::body::Body for Lines {
--- a/crates/rehearse/src/fault_player.rs
+++ b/crates/rehearse/src/fault_player.rs
@@ -1,4 +1,4 @@
-//! Plays faults on the stand-ins, each at its time, and takes them back.
+//! Starts and ends faults on the stand-ins at their scheduled times.
 
 use std::time::Duration;
 
@@ -14,19 +14,20 @@
 /// The stand-ins that faults act on.
 pub struct FaultPlayer {
     pub fleet: Fleet,
+    /// Seed that selects the affected backends.
     pub seed: u64,
     pub backends: Backends,
     pub counter: Counter,
     pub discovery: Discovery,
 }
 
-/// What happens at one moment. Of those at the same moment, the order is that of the variants, and within one that of
-/// the faults.
+/// The start or end of the fault with this index, or the return of the quota counter. Events at the same time are
+/// handled in the derived order: by variant, then by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     FaultEnds(usize),
-    /// The counter of a lost zone is back elsewhere.
-    CounterIsBack,
+    /// The quota counter of a lost zone has been restarted in another zone.
+    CounterResumes,
     FaultBegins(usize),
 }
 
@@ -37,14 +38,14 @@
 }
 
 impl FaultPlayer {
-    /// Plays all faults, with times counted from `start`.
+    /// Plays all faults, with times relative to `start`.
     pub async fn play(self, faults: Vec<Fault>, start: Instant) {
         for ScheduledEvent { at, event } in self.schedule(&faults) {
             sleep_until(start + Duration::from_micros(at)).await;
             match event {
                 Event::FaultBegins(n) => self.begin(&faults[n]),
                 Event::FaultEnds(n) => self.end(&faults[n]).await,
-                Event::CounterIsBack => self.counter.resume_empty(),
+                Event::CounterResumes => self.counter.resume_empty(),
             }
         }
     }
@@ -54,16 +55,17 @@
         for (n, fault) in faults.iter().enumerate() {
             events.push(ScheduledEvent { at: fault.starts_at(), event: Event::FaultBegins(n) });
             events.push(ScheduledEvent { at: fault.ends_at(), event: Event::FaultEnds(n) });
-            if self.takes_counter_zone(fault) {
+            if self.affects_counter_zone(fault) {
                 let at = fault.starts_at() + self.fleet.counter.back_after;
-                events.push(ScheduledEvent { at, event: Event::CounterIsBack });
+                events.push(ScheduledEvent { at, event: Event::CounterResumes });
             }
         }
         events.sort_unstable();
         events
     }
 
-    fn takes_counter_zone(&self, fault: &Fault) -> bool {
+    /// Whether a fault takes down the zone of the quota counter.
+    fn affects_counter_zone(&self, fault: &Fault) -> bool {
         matches!(fault, Fault::ZoneLost { zone, .. } if *zone == self.fleet.counter.zone)
     }
 
@@ -72,7 +74,7 @@
             self.backends.kill(backend);
             self.discovery.remove(backend);
         }
-        if matches!(fault, Fault::CounterLost { .. }) || self.takes_counter_zone(fault) {
+        if matches!(fault, Fault::CounterLost { .. }) || self.affects_counter_zone(fault) {
             self.counter.stop_answering();
         }
     }
--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -1,9 +1,10 @@
-//! Rehearsals: real daemons between stand-ins, on loopback, under a load whose results are scored.
+//! Rehearsals: run real daemons against stand-ins on loopback, under a load whose results are scored.
 //!
-//! The stand-ins for backends and for the quota counter step the model's state machines in real time, the stand-in for
-//! discovery speaks the platform's protocol, and the load player sends the same demand that the model plays. What is
-//! drawn comes from the seed; what real sockets and timers add is the point of a rehearsal. The player measures its own
-//! lateness: a machine too busy to play the load makes a rehearsal void, never failed.
+//! The stand-ins for the backends and the quota counter step the model's state machines in real time. The stand-in for
+//! discovery implements the platform's protocol, and the load player sends the same demand that the model simulates.
+//! The seed determines everything random except the timing of real sockets and timers, which is what a rehearsal adds
+//! to the model. The load player measures how late it sends: on a machine that is too busy to send the load on time,
+//! the rehearsal is void rather than failed.
 #![forbid(unsafe_code)]
 
 mod backends;
@@ -35,157 +36,157 @@
 use fault_player::FaultPlayer;
 use request_log::RequestLog;
 
-/// A player whose sends are later than this in one case of a hundred could not play the load.
+/// 99th percentile of the load player's lateness, in milliseconds, above which a rehearsal is void.
 const VOID_LATENESS_MS: f64 = 50.0;
-/// The load begins so long after all daemons are ready.
-const LEAD: Duration = Duration::from_millis(500);
+/// Time between all daemons being ready and the start of the load.
+const START_DELAY: Duration = Duration::from_millis(500);
 
-/// What is rehearsed.
+/// The input of a rehearsal.
 pub struct Rehearsal<'a> {
     /// The deployment: its limiters, backends, classes and plans.
     pub fleet: &'a Fleet,
-    /// The requests that the load player sends, each with its time.
+    /// The requests that the load player sends, and when.
     pub demand: &'a Demand,
-    /// What goes wrong, with times counted from the beginning of the load.
+    /// Faults to inject, with times relative to the start of the load.
     pub faults: &'a [Fault],
-    /// Determines everything random in the stand-ins and the load player.
+    /// Seed of the random numbers of the stand-ins and the load player.
     pub seed: u64,
-    /// The daemon's binary.
+    /// Path of the daemon's binary.
     pub daemon: PathBuf,
-    /// Which daemons record a capture, and where; `None` for no captures.
+    /// Which daemons record a capture, and where; `None` if none do.
     pub captures: Option<Captures>,
-    /// Called about once a second with the part of the load that has been sent, 0 to 1.
+    /// Called about once a second with the fraction of the load sent so far, from 0 to 1.
     pub progress: &'a (dyn Fn(f64) + Sync),
 }
 
-/// Captures that daemons are to leave.
+/// Captures that the daemons record.
 #[derive(Clone, Debug)]
 pub struct Captures {
-    /// The folder; each daemon's is named by its number, as `n0.sedgecap`.
+    /// Directory of the captures. Files are named after the daemon's number: `n0.sedgecap`.
     pub folder: PathBuf,
-    /// The daemons that capture, by number; all of them where this is empty.
+    /// Numbers of the daemons that record a capture; if empty, all do.
     pub only: Vec<u32>,
 }
 
 impl Captures {
-    fn of(&self, number: u32) -> Option<PathBuf> {
-        let wanted = self.only.is_empty() || self.only.contains(&number);
-        wanted.then(|| self.folder.join(format!("n{number}.sedgecap")))
+    /// Path of a daemon's capture, or `None` if the daemon records none.
+    fn path_for(&self, number: u32) -> Option<PathBuf> {
+        let is_captured = self.only.is_empty() || self.only.contains(&number);
+        is_captured.then(|| self.folder.join(format!("n{number}.sedgecap")))
     }
 }
 
-/// Resources that a daemon used.
+/// Resources used by a daemon.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct DaemonUse {
-    /// Identifies the daemon in reports.
+pub struct DaemonUsage {
+    /// The daemon's name.
     pub name: String,
-    /// CPU time used after it had become ready, seconds.
+    /// CPU time used since the daemon became ready, in seconds.
     pub cpu_s: f64,
-    /// Peak resident memory, MB.
+    /// Peak resident memory, in MB.
     pub peak_mb: f64,
-    /// Requests it accepted, by its own counters.
+    /// Number of requests accepted, as counted by the daemon.
     pub taken: u64,
-    /// Microseconds of CPU for each of them.
+    /// CPU time per accepted request, in microseconds.
     pub cpu_us_per_request: f64,
 }
 
-/// How a rehearsal went.
+/// The results of a rehearsal.
 #[derive(Clone, Debug)]
 pub struct RehearsalReport {
-    /// What the answers were worth, scored as in the model.
+    /// The score of the responses, computed as in the model.
     pub score: Score,
-    /// The resources that each daemon used.
-    pub daemons: Vec<DaemonUse>,
-    /// How late the player sent, milliseconds: 99 of 100 sends were no later.
+    /// Resources used by each daemon.
+    pub daemons: Vec<DaemonUsage>,
+    /// 99th percentile of how late the load player sent requests, in milliseconds.
     pub lateness_ms: f64,
-    /// Requests in the demand, each counted once however often it was tried.
+    /// Number of requests in the demand, not counting retries.
     pub first_tries: u64,
-    /// Second tries by clients whose first try was not served.
+    /// Number of client retries.
     pub retries: u64,
-    /// Tries that ended with the complete expected response.
+    /// Number of tries, retries included, that received the complete expected response.
     pub served: u64,
-    /// Tries that ended with a 429 or 503.
+    /// Number of tries that ended with a 429 or 503.
     pub rejected: u64,
-    /// Tries that ended with a connection error or any other response.
+    /// Number of tries that ended with a connection error or any other response.
     pub failed: u64,
-    /// Tries that the client abandoned at its timeout.
+    /// Number of tries that the client gave up at its timeout.
     pub timed_out: u64,
-    /// Backends that crashed under load while they were warming up.
+    /// Number of backend crashes caused by too much load during warm-up.
     pub warmup_crashes: u64,
 }
 
 impl RehearsalReport {
-    /// Whether the machine was too busy for the figures to mean anything.
+    /// Whether the machine was too busy to send the load on time, so that the results are meaningless.
     pub fn is_void(&self) -> bool {
         self.lateness_ms > VOID_LATENESS_MS
     }
 }
 
-/// Why a rehearsal could not be held.
+/// Errors that prevent a rehearsal or abort it.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     /// An operation on a socket, file or process failed.
     #[error("{what}: {why}")]
     Io {
-        /// The resource or operation concerned.
+        /// The resource or operation that failed.
         what: String,
         /// The error from the operating system.
         why: std::io::Error,
     },
-    /// A daemon exited during startup.
-    #[error("{name} ended before it was ready; its log: {log}")]
+    /// A daemon exited before it was ready.
+    #[error("{name} exited before it was ready; log: {log}")]
     DaemonEnded {
         /// The daemon that exited.
         name: String,
-        /// Lines from its log, joined by ` | `.
+        /// The daemon's last log lines, joined by ` | `.
         log: String,
     },
-    /// A daemon was ended by SIGKILL during startup, as by a scheduled kill.
+    /// A daemon was killed by SIGKILL before it was ready, for example by a scheduled kill.
     #[error("{name} was killed before it was ready")]
     Killed {
         /// The daemon that was killed.
         name: String,
     },
-    /// A daemon that was to record a capture ended without one.
-    #[error("{name} left no capture; its log: {log}")]
+    /// A daemon that should have recorded a capture exited without one.
+    #[error("{name} wrote no capture; log: {log}")]
     NoCapture {
         /// The daemon whose capture is missing.
         name: String,
-        /// Lines from its log, joined by ` | `.
+        /// The daemon's last log lines, joined by ` | `.
         log: String,
     },
-    /// A daemon still runs but did not become ready in time.
-    #[error("{name} was not ready within {seconds} s; its log: {log}")]
+    /// A daemon is running but did not become ready in time.
+    #[error("{name} was not ready within {seconds} s; log: {log}")]
     NotReady {
-        /// The daemon that was waited for.
+        /// The daemon that is not ready.
         name: String,
-        /// How long it was waited for, seconds.
+        /// How long the rehearsal waited, in seconds.
         seconds: u64,
-        /// Lines from its log, joined by ` | `.
+        /// The daemon's last log lines, joined by ` | `.
         log: String,
     },
-    /// A fault, described by the text, that only the model can play.
-    #[error(
-        "{0} can't be rehearsed on loopback yet: a limiter's or a silent machine's loss needs the model"
-    )]
+    /// A fault, named by the text, that only the model supports.
+    #[error("{0} can't be rehearsed on loopback; use the model")]
     UnsupportedFault(&'static str),
 }
 
+/// Wraps an I/O error with the resource or operation that failed.
 fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> Failure {
     let what = what.into();
     move |why| Failure::Io { what, why }
 }
 
-/// Holds a rehearsal, on a runtime of its own.
+/// Runs a rehearsal on its own Tokio runtime.
 ///
 /// # Errors
-/// Where a socket, file or daemon can't be had, or a fault can't be played here.
+/// If a socket or file operation fails, a daemon does not start or record its capture, or a fault is not supported.
 pub fn rehearse(rehearsal: &Rehearsal<'_>) -> Result<RehearsalReport, Failure> {
     for fault in rehearsal.faults {
         match fault {
-            Fault::ZoneLost { silent: true, .. } => return Err(Failure::UnsupportedFault("a silent room")),
+            Fault::ZoneLost { silent: true, .. } => return Err(Failure::UnsupportedFault("a silent zone")),
             Fault::ZoneLost { limiters: true, .. } => {
-                return Err(Failure::UnsupportedFault("a room with limiters"))
+                return Err(Failure::UnsupportedFault("a zone loss with limiters"))
             }
             _ => {}
         }
@@ -201,7 +202,7 @@
     let counter = counter::start(&fleet.counter).await?;
     let discovery = Discovery::start(fleet, seed, backends.endpoints()).await?;
     let daemons = daemons::Daemons::start(rehearsal, &backends, counter.address, &discovery).await?;
-    let start = Instant::now() + LEAD;
+    let start = Instant::now() + START_DELAY;
     request_log.begin(start);
     let player = FaultPlayer {
         fleet: fleet.clone(),
--- a/crates/rehearse/src/load_player.rs
+++ b/crates/rehearse/src/load_player.rs
@@ -1,4 +1,4 @@
-//! The load player: clients as the demand describes them, each with a timeout and at most one retry.
+//! The load player: sends the requests of the demand as clients would, each with a timeout and at most one retry.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -25,14 +25,14 @@
 use crate::sync::locked;
 use crate::Rehearsal;
 
-/// The body of a request with an idempotency key: what matters is that there is one.
+/// Body of each `POST` request; its content does not matter.
 const BODY: &[u8] = b"a text to be checked";
-/// Between two reports of progress.
+/// Interval between progress reports.
 const PROGRESS_INTERVAL: Micros = 1_000_000;
-/// The percentile of the player's lateness that is reported.
+/// The reported percentile of the load player's lateness.
 const LATENESS_PERCENTILE: usize = 99;
 
-/// What the player saw.
+/// The results of playing the load, as described at [`RehearsalReport`](crate::RehearsalReport).
 #[derive(Default)]
 pub struct LoadOutcome {
     pub lateness_ms: f64,
@@ -43,7 +43,7 @@
     pub timed_out: u64,
 }
 
-/// Tries by how they ended.
+/// Number of retries, and of tries by outcome.
 #[derive(Default)]
 struct Counters {
     retries: AtomicU64,
@@ -53,27 +53,29 @@
     timed_out: AtomicU64,
 }
 
+/// All clients of the load.
 struct Clients {
     fleet: Fleet,
     seed: u64,
     daemons: Vec<SocketAddr>,
     request_log: Arc<RequestLog>,
     http: Client<HttpConnector, Full<Bytes>>,
-    draws: Mutex<Stream>,
+    rng: Mutex<Stream>,
     next_id: AtomicU64,
     start: Instant,
     counters: Counters,
 }
 
+/// How a try ended.
 enum TryOutcome {
     Served,
-    /// With how long the limiter asked to wait.
+    /// Rejected, with the time that the limiter asked the client to wait before a retry.
     Rejected(Duration),
     Failed,
     TimedOut,
 }
 
-/// Plays the demand from `start` on, to its last answer.
+/// Sends the requests of the demand, with times relative to `start`, and waits for the last response.
 pub async fn play(
     rehearsal: &Rehearsal<'_>,
     start: Instant,
@@ -100,6 +102,7 @@
     clients.counters.outcome(percentile(lateness_ms))
 }
 
+/// Returns the [`LATENESS_PERCENTILE`] of the values.
 fn percentile(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() * LATENESS_PERCENTILE / 100).copied().unwrap_or(0.0)
@@ -133,26 +136,27 @@
             daemons: daemons.to_vec(),
             request_log,
             http: Client::builder(TokioExecutor::new()).retry_canceled_requests(false).build(connector),
-            draws: Mutex::new(stream(rehearsal.seed, Concern::Clients, u64::MAX)),
+            rng: Mutex::new(stream(rehearsal.seed, Concern::Clients, u64::MAX)),
             next_id: AtomicU64::new(1),
             start,
             counters: Counters::default(),
         }
     }
 
+    /// Draws a random number from 0 to 1.
     fn draw(&self) -> f64 {
-        locked(&self.draws).random()
+        locked(&self.rng).random()
     }
 
-    /// A first try, and its retry if it comes to that.
+    /// Sends a first try, and possibly a retry if it is not served.
     async fn send_with_retry(self: Arc<Self>, n: u64, arrival: Arrival) {
         let Arrival { class, plan, customer, units, .. } = arrival;
         self.request_log.record_first_try(n, |at| FirstTry { at, class, plan, customer, units });
         let Some(retry_after) = self.try_once(n, &arrival).await else { return };
         let clients = &self.fleet.clients;
-        let retries = self.draw() < clients.retries;
+        let should_retry = self.draw() < clients.retries;
         let honours_retry_after = self.draw() < clients.honour;
-        if retries {
+        if should_retry {
             let backoff = Duration::from_micros(clients.backoff);
             sleep(if honours_retry_after { retry_after.max(backoff) } else { backoff }).await;
             self.counters.retries.fetch_add(1, Relaxed);
@@ -164,7 +168,8 @@
         self.request_log.record_closed(n);
     }
 
-    /// One try; `None` once it is served, else how long the limiter asked to wait.
+    /// Sends and records one try. Returns `None` if it was served, or else the time that the limiter asked the client
+    /// to wait, which is zero without a rejection.
     async fn try_once(&self, n: u64, arrival: &Arrival) -> Option<Duration> {
         let (counter, retry_after) = match self.send(n, arrival).await {
             TryOutcome::Served => {
@@ -179,7 +184,7 @@
         retry_after
     }
 
-    /// Sends one request and waits for its response until the client's timeout.
+    /// Sends one request and waits for its response, at most until the client's timeout.
     async fn send(&self, n: u64, arrival: &Arrival) -> TryOutcome {
         let deadline = Instant::now() + Duration::from_micros(arrival.timeout);
         let limiter = self.choose_limiter(arrival);
@@ -200,12 +205,12 @@
         }
     }
 
-    /// The limiter at which a try enters the tier, as the model draws it.
+    /// Selects the limiter that receives a try, as the model does.
     fn choose_limiter(&self, arrival: &Arrival) -> u32 {
         let limiters = self.daemons.len() as u32;
         let now = self.start.elapsed().as_micros() as Micros;
         let down = vec![false; self.daemons.len()];
-        entry(&self.fleet.load, self.seed, arrival, now, limiters, &down, &mut locked(&self.draws))
+        entry(&self.fleet.load, self.seed, arrival, now, limiters, &down, &mut locked(&self.rng))
     }
 
     fn request(&self, n: u64, arrival: &Arrival, limiter: u32, id: &str) -> Request<Full<Bytes>> {
@@ -227,11 +232,11 @@
             let request = request.method(Method::POST).header("idempotency-key", key);
             request.body(Full::new(Bytes::from_static(BODY)))
         };
-        request.expect("the head is well formed")
+        request.expect("the request is valid")
     }
 }
 
-/// How a try ended, by its response.
+/// Derives the outcome of a try from its response.
 fn try_outcome(head: &Parts, body: &Bytes, id: &str) -> TryOutcome {
     match head.status {
         StatusCode::OK if body == format!("report {id}\n").as_bytes() => TryOutcome::Served,
@@ -242,7 +247,7 @@
     }
 }
 
-/// What `Retry-After` asks for; nothing where it is missing or unreadable.
+/// Returns the time in `Retry-After`, or zero if the header is missing or invalid.
 fn retry_after(head: &Parts) -> Duration {
     let value = head.headers.get("retry-after").and_then(|value| value.to_str().ok()?.parse().ok());
     let seconds = value.filter(|seconds: &f64| seconds.is_finite() && *seconds >= 0.0);
--- a/crates/rehearse/src/request_log.rs
+++ b/crates/rehearse/src/request_log.rs
@@ -1,5 +1,5 @@
-//! The request log: which request is which, and what became of it. Backends and the load player write it; the score
-//! is computed from it.
+//! The request log maps request ids to requests and records their results. Backends and the load player write to it;
+//! the score is computed from it.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -10,25 +10,28 @@
 
 use crate::sync::locked;
 
-/// What a backend needs to know of a request.
+/// The properties of a request that determine how a backend processes it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestDetails {
-    /// Its first try's place in the demand.
+    /// Index of the request in the demand; the same for a retry.
     pub arrival: u64,
+    /// Index of the request's class in the fleet.
     pub class: usize,
+    /// Microseconds of a core of speed 1.
     pub work: f64,
 }
 
-/// A request that a client has sent.
+/// A request that a client has sent under a request id.
 struct OpenRequest {
     details: RequestDetails,
-    /// Whether it has reached a backend.
+    /// Whether the request has reached a backend.
     is_forwarded: bool,
 }
 
 struct State {
     start: Instant,
     scorer: Scorer,
+    /// Requests by request id.
     open: HashMap<String, OpenRequest>,
 }
 
@@ -39,44 +42,44 @@
     }
 }
 
-/// The log of one rehearsal.
+/// The request log of one rehearsal.
 pub struct RequestLog {
     state: Mutex<State>,
     fleet: Fleet,
 }
 
 impl RequestLog {
-    /// An empty log.
+    /// Creates an empty log.
     pub fn new(fleet: &Fleet) -> RequestLog {
         let state = State { start: Instant::now(), scorer: Scorer::new(fleet, 0), open: HashMap::new() };
         RequestLog { state: Mutex::new(state), fleet: fleet.clone() }
     }
 
-    /// Sets the moment from which times count.
+    /// Sets the start of the load, to which all times are relative.
     pub fn begin(&self, start: Instant) {
         locked(&self.state).start = start;
     }
 
-    /// A client sends a first try.
+    /// Records that a client sends the first try of a request.
     pub fn record_first_try(&self, arrival: u64, first_try: impl FnOnce(Micros) -> FirstTry) {
         let mut state = locked(&self.state);
         let now = state.now();
         state.scorer.record_first_try(arrival, first_try(now));
     }
 
-    /// A client sends a further try.
+    /// Records that a client retries a request.
     pub fn record_retry(&self, arrival: u64) {
         let mut state = locked(&self.state);
         let now = state.now();
         state.scorer.record_retry(arrival, now);
     }
 
-    /// A try is sent under a request id.
+    /// Registers the request id under which a try is sent.
     pub fn open(&self, id: &str, details: RequestDetails) {
         locked(&self.state).open.insert(id.to_string(), OpenRequest { details, is_forwarded: false });
     }
 
-    /// A request reached a backend whole: its details, or `None` for an id that no client has open.
+    /// Records that a complete request reached a backend. Returns its details, or `None` if the id is unknown.
     pub fn record_arrival(&self, id: &str) -> Option<RequestDetails> {
         let mut state = locked(&self.state);
         let now = state.now();
@@ -88,7 +91,7 @@
         Some(details)
     }
 
-    /// A client received its result.
+    /// Records that a client received the result of its request.
     pub fn record_served(&self, arrival: u64) {
         let mut state = locked(&self.state);
         let now = state.now();
@@ -96,14 +99,14 @@
         state.scorer.record_closed(arrival);
     }
 
-    /// Nothing more comes of a first try.
+    /// Records that a request ended without a result and is not retried any more.
     pub fn record_closed(&self, arrival: u64) {
         locked(&self.state).scorer.record_closed(arrival);
     }
 
-    /// The score of everything that was recorded.
+    /// Returns the score of everything recorded, and clears the record.
     pub fn finish(&self) -> Score {
-        let fresh = Scorer::new(&self.fleet, 0);
-        std::mem::replace(&mut locked(&self.state).scorer, fresh).finish()
+        let empty = Scorer::new(&self.fleet, 0);
+        std::mem::replace(&mut locked(&self.state).scorer, empty).finish()
     }
 }
--- a/crates/rehearse/src/scenarios.rs
+++ b/crates/rehearse/src/scenarios.rs
@@ -1,34 +1,37 @@
-//! The scenarios on which prediction and rehearsal are held against each other.
+//! Scenarios for rehearsals, and for comparing rehearsals with the model's predictions.
 
 use sedgestack_fleet::{Fleet, Surge};
 use sedgestack_model::Fault;
 
-/// A fleet under a load with faults, under a name.
+/// A named combination of a fleet, its load, and faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its key in [`ALL`].
+    /// The scenario's name, as in [`ALL`].
     pub name: &'static str,
-    /// One line that describes it in reports.
+    /// One-line description.
     pub about: &'static str,
-    /// The fleet, with its load changed as the scenario demands.
+    /// The fleet, with the load of the scenario.
     pub fleet: Fleet,
-    /// What goes wrong; empty where only the load differs.
+    /// Faults during the load; empty if only the load differs.
     pub faults: Vec<Fault>,
 }
 
-/// Names and what they are, in order.
+/// Name and description of each scenario.
 pub const ALL: [(&str, &str); 8] = [
-    ("calm", "six tenths of the described load"),
-    ("described", "the load that the file describes"),
-    ("text-submit-surge", "the last class asks 2.5 times as often at twice the work for a third of the run"),
-    ("room-lost", "the workers of the second room die and come back cold"),
-    ("workers-dead", "23% of all workers die at once and come back cold"),
-    ("counter-lost", "the quota counter answers nothing and is back empty"),
+    ("calm", "60% of the described load"),
+    ("described", "the load described in the fleet file"),
+    (
+        "text-submit-surge",
+        "the last class gets 2.5 times the requests at twice the work for a third of the run",
+    ),
+    ("room-lost", "all backends of the second zone crash and restart cold"),
+    ("workers-dead", "23% of all backends crash at once and restart cold"),
+    ("counter-lost", "the quota counter stops answering and resumes empty"),
     ("busy", "1.4 times the described load"),
     ("beyond-capacity", "2.2 times the described load"),
 ];
 
-/// The scenario of a name, for a fleet.
+/// Returns the scenario with this name for a fleet, or `None` if there is none.
 pub fn scenario(fleet: &Fleet, name: &str) -> Option<Scenario> {
     let (name, about) = *ALL.iter().find(|(known, _)| *known == name)?;
     let mut fleet = fleet.clone();
@@ -42,8 +45,8 @@
             fleet.surges.push(Surge { class, from: length / 3, span: length / 3, arrivals: 2.5, work: 2.0 });
         }
         "room-lost" => {
-            let room = 1.min(fleet.zones.len() - 1);
-            faults.push(Fault::ZoneLost { at, span, zone: room, limiters: false, silent: false });
+            let zone_index = 1.min(fleet.zones.len() - 1);
+            faults.push(Fault::ZoneLost { at, span, zone: zone_index, limiters: false, silent: false });
         }
         "workers-dead" => faults.push(Fault::BackendsCrash { at, span, share: fleet.objectives.sudden_loss }),
         "counter-lost" => faults.push(Fault::CounterLost { at, span }),
--- a/crates/rehearse/src/sync.rs
+++ b/crates/rehearse/src/sync.rs
@@ -1,8 +1,8 @@
-//! Access to state that tasks and threads share.
+//! Access to state shared between tasks and threads.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also after a holder panicked: the state here is valid between any two steps.
+/// Locks a mutex and ignores poisoning: the state in this crate stays valid even if a holder panics.
 pub fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
