--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -139,7 +139,7 @@
     DaemonEnded {
         /// The daemon that exited.
         name: String,
-        /// The daemon's last log lines, joined by ` | `.
+        /// Lines of the daemon's log, joined by ` | `.
         log: String,
     },
     /// A daemon was killed by SIGKILL before it was ready, for example by a scheduled kill.
@@ -153,7 +153,7 @@
     NoCapture {
         /// The daemon whose capture is missing.
         name: String,
-        /// The daemon's last log lines, joined by ` | `.
+        /// Lines of the daemon's log, joined by ` | `.
         log: String,
     },
     /// A daemon is running but did not become ready in time.
@@ -163,7 +163,7 @@
         name: String,
         /// How long the rehearsal waited, in seconds.
         seconds: u64,
-        /// The daemon's last log lines, joined by ` | `.
+        /// Lines of the daemon's log, joined by ` | `.
         log: String,
     },
     /// A fault, named by the text, that only the model supports.
