--- a/tests/rehearsal/main.rs
+++ b/tests/rehearsal/main.rs
@@ -9,7 +9,7 @@
 use sedgestack_capture::{merge, read_file, Outcome};
 use sedgestack_fleet::Fleet;
 use sedgestack_model::{demand, Fault};
-use sedgestack_rehearse::{hold, Captures, Failure, Rehearsal, Rehearsed};
+use sedgestack_rehearse::{rehearse, Captures, Failure, Rehearsal, RehearsalReport};
 
 const SECOND: u64 = 1_000_000;
 
@@ -24,7 +24,7 @@
 }
 
 /// Runs a rehearsal of a fleet and returns its result.
-fn run_rehearsal(fleet: &Fleet, faults: &[Fault], captures: Option<Captures>) -> Rehearsed {
+fn run_rehearsal(fleet: &Fleet, faults: &[Fault], captures: Option<Captures>) -> RehearsalReport {
     let demand = demand::draw(fleet, 3);
     let rehearsal = Rehearsal {
         fleet,
@@ -35,7 +35,7 @@
         captures,
         progress: &|_| {},
     };
-    hold(&rehearsal).expect("the rehearsal starts")
+    rehearse(&rehearsal).expect("the rehearsal starts")
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let result =
         run_rehearsal(&fleet, &[zone_loss], Some(Captures { folder: directory.clone(), only: Vec::new() }));
     let client_requests = result.first_tries + result.retries;
-    assert_eq!(client_requests, result.served + result.refused + result.failed + result.gave_up);
+    assert_eq!(client_requests, result.served + result.rejected + result.failed + result.timed_out);
     assert!(result.served > 0, "{result:?}");
     let admitted: u64 = result.daemons.iter().map(|d| d.taken).sum();
     assert!(admitted <= client_requests && admitted > 0);
@@ -62,7 +62,7 @@
     let merged = merge(captures).expect("captures of one tier");
     let served = merged.records.iter().filter(|r| r.outcome == Outcome::Served).count() as u64;
     // If a client gives up while its answer is on the way, only the limiter counts the request as served.
-    assert!((result.served..=result.served + result.gave_up).contains(&served), "{served} {result:?}");
+    assert!((result.served..=result.served + result.timed_out).contains(&served), "{served} {result:?}");
     let customers: std::collections::BTreeSet<u64> = merged.records.iter().map(|r| r.customer).collect();
     let customer_ids: Vec<u64> = demand::draw(&fleet, 3).arrivals.iter().map(|a| a.customer).collect();
     assert!(customers.iter().all(|c| !customer_ids.contains(c)), "a capture must not contain customer ids");
@@ -85,9 +85,9 @@
             captures: None,
             progress: &|_| {},
         };
-        hold(&rehearsal).expect_err("the rehearsal must fail")
+        rehearse(&rehearsal).expect_err("the rehearsal must fail")
     };
-    assert!(matches!(failure(&silent), Failure::Unplayable(_)));
+    assert!(matches!(failure(&silent), Failure::UnsupportedFault(_)));
     let message = failure(&[]).to_string();
     assert!(message.starts_with("/nowhere/sedgestack: "), "{message}");
 }
