--- a/crates/kit/src/plan.rs
+++ b/crates/kit/src/plan.rs
@@ -56,5 +56,5 @@
         Format::Table => print!("{}", sedgestack_report::text::plan(&fleet, &answer)),
         Format::Json => println!("{}", serde_json::to_string(&answer).map_err(KitError::Json)?),
     }
-    Ok(Verdict::from_bool(answer.meets_aims()))
+    Ok(Verdict::from_bool(answer.meets_objectives()))
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -99,7 +99,7 @@
 
 impl Plan {
     /// Whether a count in range meets the objectives.
-    pub fn meets_aims(&self) -> bool {
+    pub fn meets_objectives(&self) -> bool {
         self.least.backends.is_some()
     }
 }
