--- a/crates/report/src/figures.rs
+++ b/crates/report/src/figures.rs
@@ -1,8 +1,8 @@
-//! Figures as text, the same on a terminal and on a page.
+//! Formats figures as text, for the terminal and the HTML page alike.
 
 use sedgestack_plan::{ClassFit, Interval};
 
-/// A share as a percentage with one decimal.
+/// Formats a share as a percentage with one decimal; a dash if it is not finite.
 pub fn percent(share: f64) -> String {
     if share.is_finite() {
         format!("{:.1}%", 100.0 * share)
@@ -11,7 +11,7 @@
     }
 }
 
-/// A mean with its interval, as percentages.
+/// Formats a mean share as a percentage, with half the width of its interval if that is bounded.
 pub fn interval(interval: &Interval) -> String {
     if interval.low.is_finite() && interval.high.is_finite() {
         format!("{:.1}% ± {:.1}", 100.0 * interval.mean, 50.0 * (interval.high - interval.low))
@@ -20,8 +20,8 @@
     }
 }
 
-/// A figure with its interval, without decimals.
-pub fn plain(interval: &Interval) -> String {
+/// Formats a mean without decimals, with half the width of its interval if that is bounded.
+pub fn whole_number(interval: &Interval) -> String {
     if interval.low.is_finite() && interval.high.is_finite() {
         format!("{:.0} ± {:.0}", interval.mean, (interval.high - interval.low) / 2.0)
     } else {
@@ -29,7 +29,7 @@
     }
 }
 
-/// The ends of an interval of multiples; a dash where it has none.
+/// Formats the ends of an interval of load multiples; a dash if it is unbounded.
 pub fn range(interval: &Interval) -> String {
     if interval.low.is_finite() && interval.high.is_finite() {
         format!("{:.2} to {:.2}", interval.low.max(0.0), interval.high)
@@ -38,7 +38,7 @@
     }
 }
 
-/// How far the model explains a class, as the cells of a row.
+/// Returns the cells of the table row that shows the fit of a class.
 pub fn fit_row(class: &ClassFit) -> Vec<String> {
     vec![
         class.name.clone(),
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,15 +1,15 @@
-//! A plan as one page that needs nothing else.
+//! Renders a plan as one self-contained HTML page.
 
 use sedgestack_fleet::Fleet;
 use sedgestack_plan::{BusiestDay, CountPoint, Fit, ObservedLoad, Plan};
 
 use crate::figures::{fit_row, interval, percent, range};
-use crate::markup::{escape, figure, small, strings, table, Row};
+use crate::markup::{escape, figure, small_print, table, to_strings, Row};
 use crate::plots;
 
 const STYLE: &str = include_str!("html/style.css");
 
-/// The whole page of a plan.
+/// Returns the HTML page of a plan.
 pub fn page(fleet: &Fleet, plan: &Plan) -> String {
     let name = escape(&plan.fleet);
     let body = [
@@ -19,7 +19,7 @@
         losses(plan),
         load(&plan.load),
         plan.fit.as_ref().map(fit).unwrap_or_default(),
-        small(&format!(
+        small_print(&format!(
             "{} seeds back every figure; ± is half a 95% interval by Student's t. Service is the worth \
              answered in time over the worth asked for inside quotas.",
             plan.seeds
@@ -52,7 +52,7 @@
          and lies below it in the class's worst 10 s by no more than chance.",
     );
     let growth = match &plan.busiest_day {
-        BusiestDay::Stated { growth, uncertainty, seen_part, .. } => small(&format!(
+        BusiestDay::Stated { growth, uncertainty, seen_part, .. } => small_print(&format!(
             "Planned for {growth} times the load seen, ± {}. {} of that load was seen.",
             percent(*uncertainty),
             percent(*seen_part)
@@ -63,12 +63,12 @@
 }
 
 fn counts(fleet: &Fleet, plan: &Plan) -> String {
-    let mut head = strings(&["Workers", "By room", "Aims"]);
+    let mut head = to_strings(&["Workers", "By room", "Aims"]);
     head.extend(fleet.classes.iter().map(|class| format!("{} in time", class.name)));
     head.extend(fleet.classes.iter().map(|class| format!("{} worst 10 s", class.name)));
-    head.extend(strings(&["Service", "Worst 10 s", "Cores busy"]));
+    head.extend(to_strings(&["Service", "Worst 10 s", "Cores busy"]));
     let row = |point: &CountPoint| Row {
-        is_marked: plan.least.backends == Some(point.backends),
+        is_highlighted: plan.least.backends == Some(point.backends),
         cells: count_cells(point),
     };
     table(&head, plan.least.points.iter().map(row))
@@ -77,8 +77,8 @@
 fn count_cells(point: &CountPoint) -> Vec<String> {
     let evaluation = &point.evaluation;
     let zones: Vec<String> = point.by_zone.iter().map(u32::to_string).collect();
-    let kept = if point.keeps { "kept" } else { "missed" };
-    let mut cells = vec![point.backends.to_string(), zones.join(" + "), kept.into()];
+    let verdict = if point.keeps { "kept" } else { "missed" };
+    let mut cells = vec![point.backends.to_string(), zones.join(" + "), verdict.into()];
     cells.extend(evaluation.in_time.iter().map(interval));
     cells.extend(evaluation.worst_in_time.iter().map(|window| percent(window.share)));
     let totals = [&evaluation.service, &evaluation.worst_window, &evaluation.cores_mean];
@@ -87,7 +87,8 @@
 }
 
 fn breaks(fleet: &Fleet, plan: &Plan) -> String {
-    let busy = figure(&plots::busy(fleet, plan), "Peaks: the mean of the busiest twentieth of seconds.");
+    let utilization =
+        figure(&plots::utilization(fleet, plan), "Peaks: the mean of the busiest twentieth of seconds.");
     let latency = figure(
         &plots::latency(fleet, plan),
         &format!("Latency of {} as clients see it, of the try that was served.", fleet.classes[0].name),
@@ -95,8 +96,8 @@
     let rows = plan.breaks.breaks.iter().map(|found| {
         Row::plain(vec![found.name.clone(), format!("{:.2}", found.multiple), range(&found.interval)])
     });
-    let head = strings(&["Resource", "Breaks at times today's load", "Over seeds"]);
-    format!("<h2>What breaks first</h2>\n{busy}{latency}{}", table(&head, rows))
+    let head = to_strings(&["Resource", "Breaks at times today's load", "Over seeds"]);
+    format!("<h2>What breaks first</h2>\n{utilization}{latency}{}", table(&head, rows))
 }
 
 fn losses(plan: &Plan) -> String {
@@ -106,7 +107,7 @@
         let figures = [&loss.cost, &loss.cost_whole, &loss.evaluation.service];
         Row::plain(std::iter::once(loss.name.clone()).chain(figures.map(interval)).collect())
     });
-    let head = strings(&["Loss", "Worth lost while it lasts", "Over the run", "Service"]);
+    let head = to_strings(&["Loss", "Worth lost while it lasts", "Over the run", "Service"]);
     format!("<h2>What losses cost</h2>\n{costs}{timeline}{}", table(&head, rows))
 }
 
@@ -121,7 +122,7 @@
             percent(plan.near_quota),
         ])
     });
-    let head = strings(&["Plan", "Customers", "Units a second", "Of their quotas", "Near or over quota"]);
+    let head = to_strings(&["Plan", "Customers", "Units a second", "Of their quotas", "Near or over quota"]);
     format!(
         "<h2>The load</h2>\n<p>{from}: {:.1} first tries a second over {:.0} s, {:.2} times that in the busiest 10 s; \
          their work is {} of what the warm fleet does.</p>\n{}",
@@ -138,8 +139,8 @@
     let rows = fit.classes.iter().map(|class| Row::plain(fit_row(class)));
     format!(
         "<h2>How far the model explains the capture</h2>\n{}{}",
-        table(&strings(&head), rows),
-        small(&format!(
+        table(&to_strings(&head), rows),
+        small_print(&format!(
             "{} of the answers would have to come at another time for model and capture to agree.",
             percent(fit.unexplained)
         ))
--- a/crates/report/src/markup.rs
+++ b/crates/report/src/markup.rs
@@ -1,31 +1,31 @@
-//! The parts of a page: escaped text, tables, figures.
+//! Builds the parts of an HTML page: escaped text, tables and figures.
 
 /// A row of a table.
 pub struct Row {
-    /// Whether the row is the answer, and stands out.
-    pub is_marked: bool,
-    /// Its cells, as plain text.
+    /// Whether the row is highlighted as the result.
+    pub is_highlighted: bool,
+    /// The cells, as unescaped text.
     pub cells: Vec<String>,
 }
 
 impl Row {
-    /// A row that does not stand out.
+    /// Creates a row without highlighting.
     pub fn plain(cells: Vec<String>) -> Row {
-        Row { is_marked: false, cells }
+        Row { is_highlighted: false, cells }
     }
 }
 
-/// Text made safe to stand in a page.
+/// Escapes text for use in HTML.
 pub fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// Words as the head of a table.
-pub fn strings(words: &[&str]) -> Vec<String> {
+/// Converts words to owned strings, as the header of a table.
+pub fn to_strings(words: &[&str]) -> Vec<String> {
     words.iter().map(std::string::ToString::to_string).collect()
 }
 
-/// A table that scrolls where the page is too narrow for it.
+/// Returns an HTML table that scrolls horizontally on a page too narrow for it.
 pub fn table(head: &[String], rows: impl Iterator<Item = Row>) -> String {
     let body: String = rows.map(|row| table_row(&row)).collect();
     format!(
@@ -35,7 +35,7 @@
 }
 
 fn table_row(row: &Row) -> String {
-    let class = if row.is_marked { " class=\"least\"" } else { "" };
+    let class = if row.is_highlighted { " class=\"least\"" } else { "" };
     format!("<tr{class}>{}</tr>\n", cells("td", &row.cells))
 }
 
@@ -43,7 +43,7 @@
     cells.iter().map(|cell| format!("<{tag}>{}</{tag}>", escape(cell))).collect()
 }
 
-/// A plot with its caption.
+/// Returns an HTML figure of a plot with its caption.
 pub fn figure(svg: &str, caption: &str) -> String {
     format!(
         "<figure><div class=\"scroll\">{svg}</div><figcaption>{}</figcaption></figure>\n",
@@ -51,7 +51,7 @@
     )
 }
 
-/// A paragraph of small print.
-pub fn small(text: &str) -> String {
+/// Returns a paragraph of small print. The text is not escaped.
+pub fn small_print(text: &str) -> String {
     format!("<p class=\"small\">{text}</p>\n")
 }
--- a/crates/report/src/plots.rs
+++ b/crates/report/src/plots.rs
@@ -1,4 +1,4 @@
-//! The plots of a plan.
+//! Draws the plots of a plan.
 
 mod bars;
 mod lines;
@@ -11,10 +11,10 @@
 
 pub use bars::losses;
 
-/// Losses that the timeline shows: those that cost most.
+/// Number of losses in the timeline, the costliest first.
 const SHOWN_LOSSES: usize = 2;
 
-/// Value served in time and in-time shares against the number of backends.
+/// Plots the value served in time and the share of each class answered in time, by number of backends.
 pub fn backends(fleet: &Fleet, plan: &Plan) -> String {
     let line = |name: String, of: &dyn Fn(&Evaluation) -> Interval| {
         let points = plan.least.points.iter();
@@ -28,16 +28,16 @@
     }
     let objective = fleet.objectives.in_time.iter().copied().fold(0.0, f64::max);
     let axes = Axes {
-        level: (objective > 0.0)
+        threshold: (objective > 0.0)
             .then(|| Mark { at: 100.0 * objective, name: format!("aim {:.0}%", 100.0 * objective) }),
-        most_y: Some(101.0),
+        max_y: Some(101.0),
         mark_x: plan.least.backends.map(|n| Mark { at: f64::from(n), name: format!("least: {n}") }),
         ..Axes::new("workers", "% (bars: 95% intervals)")
     };
     line_plot(&axes, &all)
 }
 
-/// Latency percentiles of the first class against load.
+/// Plots the latency percentiles of the first class, by load.
 pub fn latency(fleet: &Fleet, plan: &Plan) -> String {
     let line = |percentile: usize, name: &str| {
         let points = plan.breaks.points.iter();
@@ -47,15 +47,16 @@
     };
     let objective = fleet.classes[0].latency_objective as f64 / 1e3;
     let axes = Axes {
-        level: Some(Mark { at: objective, name: format!("aim {objective:.0} ms") }),
-        least_y: Some(0.0),
+        threshold: Some(Mark { at: objective, name: format!("aim {objective:.0} ms") }),
+        min_y: Some(0.0),
         ..Axes::new("times today's load", "ms")
     };
     line_plot(&axes, &[line(0, "p50"), line(1, "p95"), line(2, "p99")])
 }
 
-/// What is busy as load grows.
-pub fn busy(fleet: &Fleet, plan: &Plan) -> String {
+/// Plots the peak utilization of each resource, by load. Of the plans it shows the one with the largest share of units
+/// beyond quota under the highest load.
+pub fn utilization(fleet: &Fleet, plan: &Plan) -> String {
     let line = |name: &str, of: &dyn Fn(&Evaluation) -> f64| {
         let points = plan.breaks.points.iter();
         Line::new(name.into(), points.map(|p| (p.multiple, 100.0 * of(&p.evaluation))).collect())
@@ -67,7 +68,7 @@
     let quota = format!("asked beyond quota, {}", fleet.plans[busiest].name);
     let first = plan.breaks.first();
     let axes = Axes {
-        least_y: Some(0.0),
+        min_y: Some(0.0),
         mark_x: first.map(|b| Mark { at: b.multiple, name: format!("first: {}", b.name.to_lowercase()) }),
         ..Axes::new("times today's load", "% of what there is, at its peak")
     };
@@ -81,21 +82,18 @@
     line_plot(&axes, &all)
 }
 
-/// Value served in time by the second of the run, today and with each loss that costs most.
+/// Plots the value served in time by second of the run, without a loss and with each of the costliest losses.
 pub fn timeline(plan: &Plan) -> String {
     let line = |name: String, evaluation: &Evaluation| {
         let seconds = evaluation.seconds();
         let points = seconds.iter().enumerate().map(|(second, share)| (second as f64, 100.0 * share));
         Line::new(name, points.collect())
     };
-    let mut dearest: Vec<&Loss> = plan.losses.iter().collect();
-    dearest.sort_by(|a, b| b.cost.mean.total_cmp(&a.cost.mean));
+    let mut costliest: Vec<&Loss> = plan.losses.iter().collect();
+    costliest.sort_by(|a, b| b.cost.mean.total_cmp(&a.cost.mean));
     let mut all = vec![line("as it is".into(), &plan.today)];
-    all.extend(dearest.iter().take(SHOWN_LOSSES).map(|loss| line(loss.name.clone(), &loss.evaluation)));
-    let axes = Axes {
-        least_y: Some(0.0),
-        most_y: Some(110.0),
-        ..Axes::new("second of the run", "% of worth in time")
-    };
+    all.extend(costliest.iter().take(SHOWN_LOSSES).map(|loss| line(loss.name.clone(), &loss.evaluation)));
+    let axes =
+        Axes { min_y: Some(0.0), max_y: Some(110.0), ..Axes::new("second of the run", "% of worth in time") };
     line_plot(&axes, &all)
 }
--- a/crates/report/src/plots/lines.rs
+++ b/crates/report/src/plots/lines.rs
@@ -8,16 +8,18 @@
 use super::svg::*;
 use crate::markup::escape;
 
-/// Lines with fewer points than this have these marked.
+/// Lines with fewer points than this show each point as a circle.
 const MARKED_POINTS: usize = 40;
-/// Part of the span of the values that is left free beside them.
+/// Padding on either side of the x values, as a fraction of their span.
 const PAD_X: f64 = 0.03;
+/// Padding below and above the y values, as a fraction of their span.
 const PAD_Y: f64 = 0.08;
-const LEAST_PAD: f64 = 1e-6;
-/// How far below the upper edge the name of a vertical mark stands, as a part of the height.
-const MARK_NAME_DROP: f64 = 0.02;
+/// Minimum span or padding, so that an axis is never empty if all values are equal.
+const MIN_PAD: f64 = 1e-6;
+/// Distance of a vertical mark's name from the upper edge, as a fraction of the height.
+const MARK_NAME_OFFSET: f64 = 0.02;
 
-/// A mean and the interval around it.
+/// A mean and its interval, drawn as a vertical bar at `x`.
 pub struct ErrorBar {
     x: f64,
     mean: f64,
@@ -26,19 +28,19 @@
 }
 
 impl ErrorBar {
-    /// An interval in its own unit.
+    /// Creates an error bar in the interval's own unit.
     pub fn plain(x: f64, interval: Interval) -> ErrorBar {
         ErrorBar { x, mean: interval.mean, low: interval.low, high: interval.high }
     }
 
-    /// An interval of shares, as percentages.
+    /// Creates an error bar in percent from an interval of shares.
     pub fn percent(x: f64, interval: Interval) -> ErrorBar {
         let Interval { mean, low, high } = interval;
         ErrorBar { x, mean: 100.0 * mean, low: 100.0 * low, high: 100.0 * high }
     }
 }
 
-/// A line of a plot: its name, its points (x and y), and their intervals where it has them.
+/// A line of a plot: its name, its points (x and y), and their error bars if any.
 pub struct Line {
     name: String,
     points: Vec<(f64, f64)>,
@@ -46,51 +48,51 @@
 }
 
 impl Line {
-    /// A line without intervals.
+    /// Creates a line without error bars.
     pub fn new(name: String, points: Vec<(f64, f64)>) -> Line {
         Line { name, points, bars: Vec::new() }
     }
 
-    /// A line through the means of intervals.
+    /// Creates a line through the means of error bars.
     pub fn with_bars(name: String, bars: Vec<ErrorBar>) -> Line {
         Line { name, points: bars.iter().map(|bar| (bar.x, bar.mean)).collect(), bars }
     }
 }
 
-/// A place on an axis that is marked by a dashed line, and its name.
+/// A value on an axis that is marked with a dashed line and a name.
 pub struct Mark {
-    /// The place.
+    /// The value on the axis.
     pub at: f64,
-    /// The name beside the line.
+    /// The name, drawn beside the dashed line.
     pub name: String,
 }
 
-/// The axes of a plot and what is marked on them.
+/// The axes of a plot and their marks.
 pub struct Axes<'a> {
     /// The name of the x axis.
     pub x: &'a str,
     /// The name of the y axis.
     pub y: &'a str,
-    /// A level to keep to, on the y axis.
-    pub level: Option<Mark>,
-    /// The lower end of the y axis; by the values without.
-    pub least_y: Option<f64>,
-    /// The upper end of the y axis; by the values without.
-    pub most_y: Option<f64>,
+    /// A mark on the y axis, such as an objective.
+    pub threshold: Option<Mark>,
+    /// Lower end of the y axis; if `None`, it follows from the values.
+    pub min_y: Option<f64>,
+    /// Upper end of the y axis; if `None`, it follows from the values.
+    pub max_y: Option<f64>,
     /// A mark on the x axis.
     pub mark_x: Option<Mark>,
 }
 
 impl<'a> Axes<'a> {
-    /// Axes without marks, whose ends follow from the values.
+    /// Creates axes without marks, whose ends follow from the values.
     pub fn new(x: &'a str, y: &'a str) -> Axes<'a> {
-        Axes { x, y, level: None, least_y: None, most_y: None, mark_x: None }
+        Axes { x, y, threshold: None, min_y: None, max_y: None, mark_x: None }
     }
 }
 
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// The rectangle of values that a plot shows; `pad` lies beside the x values on either side.
+/// The range of values that a plot shows. `pad` is added on either side of the x range.
 struct Bounds {
     x0: f64,
     x1: f64,
@@ -104,11 +106,11 @@
         let (x0, x1) = span(lines.iter().flat_map(|line| line.points.iter().map(|point| point.0)));
         let means = lines.iter().flat_map(|line| line.points.iter().map(|point| point.1));
         let ends = lines.iter().flat_map(|line| line.bars.iter().flat_map(|bar| [bar.low, bar.high]));
-        let level = axes.level.iter().map(|level| level.at);
-        let (y0, y1) = span(means.chain(ends).chain(level));
-        let y0 = axes.least_y.unwrap_or(y0 - (y1 - y0) * PAD_Y);
-        let y1 = axes.most_y.unwrap_or(y1 + (y1 - y0).abs().max(LEAST_PAD) * PAD_Y);
-        Bounds { x0, x1, y0, y1, pad: ((x1 - x0) * PAD_X).max(LEAST_PAD) }
+        let threshold = axes.threshold.iter().map(|threshold| threshold.at);
+        let (y0, y1) = span(means.chain(ends).chain(threshold));
+        let y0 = axes.min_y.unwrap_or(y0 - (y1 - y0) * PAD_Y);
+        let y1 = axes.max_y.unwrap_or(y1 + (y1 - y0).abs().max(MIN_PAD) * PAD_Y);
+        Bounds { x0, x1, y0, y1, pad: ((x1 - x0) * PAD_X).max(MIN_PAD) }
     }
 }
 
@@ -117,7 +119,7 @@
     finite.fold((f64::MAX, f64::MIN), |(low, high), value| (low.min(value), high.max(value)))
 }
 
-/// A plot of lines, with a legend under it where there are several.
+/// Draws a line plot, with a legend below if there are several lines.
 pub fn line_plot(axes: &Axes<'_>, lines: &[Line]) -> String {
     let drawn = svg(|area| draw(area, axes, lines));
     if lines.len() > 1 {
@@ -127,7 +129,7 @@
     }
 }
 
-fn draw(area: &Area<'_>, axes: &Axes<'_>, lines: &[Line]) -> Drawn {
+fn draw(area: &Area<'_>, axes: &Axes<'_>, lines: &[Line]) -> DrawingResult {
     let bounds = Bounds::new(axes, lines);
     let mut chart = ChartBuilder::on(area)
         .margin(MARGIN)
@@ -135,8 +137,8 @@
         .y_label_area_size(64)
         .build_cartesian_2d(bounds.x0 - bounds.pad..bounds.x1 + bounds.pad, bounds.y0..bounds.y1)?;
     draw_mesh(&mut chart, axes)?;
-    if let Some(level) = &axes.level {
-        draw_level(&mut chart, &bounds, level)?;
+    if let Some(threshold) = &axes.threshold {
+        draw_threshold(&mut chart, &bounds, threshold)?;
     }
     if let Some(mark) = &axes.mark_x {
         draw_mark_x(&mut chart, &bounds, mark)?;
@@ -147,7 +149,7 @@
     Ok(())
 }
 
-fn draw_mesh(chart: &mut Chart<'_, '_>, axes: &Axes<'_>) -> Drawn {
+fn draw_mesh(chart: &mut Chart<'_, '_>, axes: &Axes<'_>) -> DrawingResult {
     chart
         .configure_mesh()
         .light_line_style(WHITE)
@@ -157,24 +159,24 @@
         .axis_desc_style((FONT, AXIS_FONT_SIZE))
         .label_style((FONT, LABEL_FONT_SIZE))
         .x_labels(8)
-        .x_label_formatter(&|x| short(*x))
+        .x_label_formatter(&|x| format_number(*x))
         .y_labels(7)
-        .y_label_formatter(&|y| short(*y))
+        .y_label_formatter(&|y| format_number(*y))
         .draw()?;
     Ok(())
 }
 
-fn draw_level(chart: &mut Chart<'_, '_>, bounds: &Bounds, level: &Mark) -> Drawn {
-    let ends = [(bounds.x0 - bounds.pad, level.at), (bounds.x1 + bounds.pad, level.at)];
+fn draw_threshold(chart: &mut Chart<'_, '_>, bounds: &Bounds, threshold: &Mark) -> DrawingResult {
+    let ends = [(bounds.x0 - bounds.pad, threshold.at), (bounds.x1 + bounds.pad, threshold.at)];
     chart.draw_series(DashedLineSeries::new(ends, 6, 4, MARK_COLOUR.stroke_width(1)))?;
-    chart.draw_series([mark_name(&level.name, (bounds.x0, level.at))])?;
+    chart.draw_series([mark_name(&threshold.name, (bounds.x0, threshold.at))])?;
     Ok(())
 }
 
-fn draw_mark_x(chart: &mut Chart<'_, '_>, bounds: &Bounds, mark: &Mark) -> Drawn {
+fn draw_mark_x(chart: &mut Chart<'_, '_>, bounds: &Bounds, mark: &Mark) -> DrawingResult {
     let ends = [(mark.at, bounds.y0), (mark.at, bounds.y1)];
     chart.draw_series(DashedLineSeries::new(ends, 3, 4, MARK_COLOUR.stroke_width(1)))?;
-    let top = bounds.y1 - (bounds.y1 - bounds.y0) * MARK_NAME_DROP;
+    let top = bounds.y1 - (bounds.y1 - bounds.y0) * MARK_NAME_OFFSET;
     chart.draw_series([mark_name(&mark.name, (mark.at + bounds.pad * 0.2, top))])?;
     Ok(())
 }
@@ -183,7 +185,7 @@
     Text::new(name.to_string(), at, (FONT, MARK_FONT_SIZE).into_font())
 }
 
-fn draw_line(chart: &mut Chart<'_, '_>, bounds: &Bounds, line: &Line, colour: RGBColor) -> Drawn {
+fn draw_line(chart: &mut Chart<'_, '_>, bounds: &Bounds, line: &Line, colour: RGBColor) -> DrawingResult {
     chart.draw_series(LineSeries::new(line.points.iter().copied(), colour.stroke_width(2)))?;
     if line.points.len() < MARKED_POINTS {
         chart.draw_series(line.points.iter().map(|point| Circle::new(*point, 3, colour.filled())))?;
@@ -196,7 +198,7 @@
     Ok(())
 }
 
-/// The names of the lines. They stand under the plot, as beside the lines they would cover some.
+/// Returns the legend with the names of the lines, placed below the plot so that it covers none of them.
 fn legend(lines: &[Line]) -> String {
     let entry = |(line, RGBColor(r, g, b)): (&Line, RGBColor)| {
         let name = escape(&line.name);
@@ -206,8 +208,8 @@
     format!("<ul class=\"legend\">{entries}</ul>")
 }
 
-/// A figure with no more decimals than it needs.
-fn short(value: f64) -> String {
+/// Formats a number with at most two decimals and without trailing zeros.
+fn format_number(value: f64) -> String {
     let text = format!("{value:.2}");
     text.trim_end_matches('0').trim_end_matches('.').to_string()
 }
--- a/crates/report/src/plots/svg.rs
+++ b/crates/report/src/plots/svg.rs
@@ -1,11 +1,11 @@
-//! Drawing into SVG text, and what all plots look like.
+//! Draws plots as SVG text, and holds their common style.
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-/// Width and height of a plot.
+/// Width and height of a plot, in pixels.
 pub const SIZE: (u32, u32) = (760, 400);
-/// Colours that stay apart for the colour-blind and in grey print (Okabe and Ito's).
+/// Colours that remain distinguishable for colour-blind readers and in greyscale print (the Okabe-Ito palette).
 pub const COLOURS: [RGBColor; 5] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -13,34 +13,38 @@
     RGBColor(204, 121, 167),
     RGBColor(86, 86, 86),
 ];
-/// The colour of marks and intervals: the last one, a grey.
+/// Colour of marks and of the intervals of bars: the grey of the palette.
 pub const MARK_COLOUR: RGBColor = COLOURS[4];
-/// The colour of the mesh.
+/// Colour of the mesh.
 pub const MESH_COLOUR: RGBColor = RGBColor(225, 225, 225);
-/// The font of all text.
+/// Font of all text.
 pub const FONT: &str = "sans-serif";
-/// Font sizes of the axes' names, of their labels, and of marks.
+/// Font size of the names of axes.
 pub const AXIS_FONT_SIZE: i32 = 18;
+/// Font size of the labels on axes.
 pub const LABEL_FONT_SIZE: i32 = 17;
+/// Font size of the names of marks.
 pub const MARK_FONT_SIZE: i32 = 16;
-/// The space around a chart, and beneath it for the labels of the x axis.
+/// Margin around a chart, in pixels.
 pub const MARGIN: i32 = 12;
+/// Height of the area below a chart for the labels of the x axis, in pixels.
 pub const X_LABEL_AREA: i32 = 44;
 
-/// What a step of drawing returns.
-pub type Drawn = Result<(), Box<dyn std::error::Error>>;
-/// A whole plot's area.
+/// The result of a drawing step.
+pub type DrawingResult = Result<(), Box<dyn std::error::Error>>;
+/// The drawing area of a plot.
 pub type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Draws into a string. The page states an error in the place of the plot that it belongs to.
-pub fn svg(draw: impl FnOnce(&Area<'_>) -> Drawn) -> String {
+/// Draws a plot and returns it as SVG. If drawing fails, returns a paragraph with the error, which the page shows in
+/// place of the plot.
+pub fn svg(draw: impl FnOnce(&Area<'_>) -> DrawingResult) -> String {
     let mut out = String::new();
     let drawn = {
         let area = SVGBackend::with_string(&mut out, SIZE).into_drawing_area();
         draw(&area).and_then(|()| Ok(area.present()?))
     };
     match drawn {
-        // The page scales it: the view box stays, the fixed size goes.
+        // Removes the fixed size but keeps the view box, so that the page can scale the plot.
         Ok(()) => out.replacen(&format!("width=\"{}\" height=\"{}\" ", SIZE.0, SIZE.1), "", 1),
         Err(error) => format!("<p>This plot could not be drawn: {error}</p>"),
     }
--- a/crates/report/src/text.rs
+++ b/crates/report/src/text.rs
@@ -1,4 +1,4 @@
-//! A plan on a terminal.
+//! Renders a plan as text for a terminal.
 
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::{Cell, CellAlignment, ContentArrangement};
@@ -6,11 +6,11 @@
 use sedgestack_fleet::Fleet;
 use sedgestack_plan::{CountPoint, Plan, SweepPoint};
 
-use crate::figures::{fit_row, interval, percent, plain, range};
+use crate::figures::{fit_row, interval, percent, range, whole_number};
 
 pub use comfy_table::Table;
 
-/// A table whose first column is text and whose others are figures.
+/// Creates a table whose first column is left-aligned and whose other columns are right-aligned.
 pub fn table(head: &[&str], rows: Vec<Vec<String>>) -> Table {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_content_arrangement(ContentArrangement::Disabled);
@@ -24,7 +24,7 @@
     table
 }
 
-/// The whole plan: conclusions first, then what they rest on.
+/// Returns the text of a plan: the conclusions and warnings first, then the tables behind them.
 pub fn plan(fleet: &Fleet, plan: &Plan) -> String {
     let mut out = format!("Capacity plan for {}, {} seeds\n\n", plan.fleet, plan.seeds);
     plan.conclusions.iter().for_each(|conclusion| out.push_str(&format!("  * {conclusion}\n")));
@@ -102,12 +102,12 @@
 fn backends_row(plan: &Plan, point: &CountPoint) -> Vec<String> {
     let evaluation = &point.evaluation;
     let zones: Vec<String> = point.by_zone.iter().map(u32::to_string).collect();
-    let kept = match (point.keeps, plan.least.backends == Some(point.backends)) {
+    let verdict = match (point.keeps, plan.least.backends == Some(point.backends)) {
         (true, true) => "kept, least",
         (true, false) => "kept",
         (false, _) => "missed",
     };
-    let mut row = vec![point.backends.to_string(), zones.join("+"), kept.into()];
+    let mut row = vec![point.backends.to_string(), zones.join("+"), verdict.into()];
     row.extend(evaluation.in_time.iter().map(interval));
     let worst = evaluation.worst_in_time.iter();
     row.extend(worst.map(|window| format!("{} at {} s", percent(window.share), window.from_s)));
@@ -126,7 +126,7 @@
         vec![
             format!("{:.2}", point.multiple),
             interval(&evaluation.service),
-            format!("{} / {}", plain(p50), plain(p99)),
+            format!("{} / {}", whole_number(p50), whole_number(p99)),
             interval(&evaluation.cores_peak),
             interval(&evaluation.turned_away),
             interval(&evaluation.counter_peak),
