--- a/crates/plan/src/breaks.rs
+++ b/crates/plan/src/breaks.rs
@@ -21,8 +21,8 @@
 const UNANSWERED_LIMIT: f64 = 0.05;
 /// Utilization of a limiter's CPU or sockets at which they count as broken.
 const LIMITER_PEAK_LIMIT: f64 = 0.9;
-/// A plan's quota counts as broken when the share of requested units beyond quota exceeds that at today's load by this
-/// much.
+/// A plan's quota counts as broken when the share of requested units beyond quota is this much higher than at today's
+/// load.
 const BEYOND_QUOTA_INCREASE: f64 = 0.1;
 
 /// A resource that can break under load.
--- a/crates/plan/src/conclusions.rs
+++ b/crates/plan/src/conclusions.rs
@@ -8,8 +8,7 @@
 /// Below this peak utilization of their cores, the backends are not the reason why an objective is missed.
 const IDLE_PEAK_UTILIZATION: f64 = 0.6;
 
-/// Returns the sentences that summarize a plan: the minimum number of backends first, then the
-/// findings behind it.
+/// Returns the sentences that summarize a plan, beginning with the minimum number of backends.
 pub fn conclusions(fleet: &Fleet, plan: &Plan) -> Vec<String> {
     let mut sentences = minimum_backends(fleet, plan);
     sentences.push(busiest_day(&plan.busiest_day));
--- a/crates/plan/src/evaluate.rs
+++ b/crates/plan/src/evaluate.rs
@@ -11,11 +11,11 @@
 use crate::interval::Interval;
 use crate::source::Source;
 
-/// The reported latency percentiles.
+/// Latency percentiles that an evaluation reports.
 const PERCENTILES: [f64; 3] = [50.0, 95.0, 99.0];
 
-/// How many standard errors below an objective the worst window may lie by chance: the 1% quantile of the normal
-/// distribution. A run has about thirty windows, so their minimum varies more than a single window does.
+/// Number of standard errors by which the worst of about thirty windows may lie below an objective by chance: the 1%
+/// quantile of the normal distribution.
 const WORST_WINDOW_STANDARD_ERRORS: f64 = 2.33;
 
 /// A class's share of requests answered within the latency objective in one window, over all seeds.
@@ -67,7 +67,7 @@
     pub counter_unanswered: Interval,
     /// Peak CPU utilization of the busiest limiter.
     pub limiter_cpu_peak: Interval,
-    /// Peak share of its sockets that a limiter uses.
+    /// Peak share of a limiter's sockets in use, for the limiter with the most.
     pub limiter_sockets_peak: Interval,
     /// By plan: share of the requested units that exceed the customers' quotas.
     pub beyond_quota: Vec<Interval>,
@@ -75,7 +75,7 @@
     pub overspent: Interval,
     /// Number of backends that failed under load while warming up, over all seeds.
     pub fallen: u64,
-    /// Number of first tries (requests that are no client retries), over all seeds.
+    /// Number of first tries (requests that are not client retries), over all seeds.
     pub first_tries: u64,
     /// By seed: `service`.
     #[serde(skip)]
--- a/crates/plan/src/first_tries.rs
+++ b/crates/plan/src/first_tries.rs
@@ -1,4 +1,4 @@
-//! Extracts from a capture the first tries: the requests that are no client retries.
+//! Extracts the first tries from a capture: the requests that are not client retries.
 //!
 //! First tries are the demand behind a capture. Client retries follow from requests that went unserved, and the model
 //! generates them itself.
@@ -84,7 +84,7 @@
     pub open_mean: f64,
     /// Share of first tries that were served.
     pub served_share: f64,
-    /// Reasons to trust a plan based on this capture less, in sentences.
+    /// What limits the accuracy of a plan based on this capture, in sentences.
     pub warnings: Vec<String>,
 }
 
--- a/crates/plan/src/fit.rs
+++ b/crates/plan/src/fit.rs
@@ -33,9 +33,9 @@
 pub struct ClassFit {
     /// The class's name.
     pub name: String,
-    /// Mean work over all windows, as a multiple of the work in the fleet file.
+    /// Mean scale over all windows: the class's work as a multiple of its work in the fleet file.
     pub scale: f64,
-    /// The highest scale of a window.
+    /// The highest scale of any window.
     pub highest: f64,
     /// Start of that window, in seconds from the start of the capture.
     pub highest_at_s: u64,
@@ -54,8 +54,8 @@
 pub struct Fit {
     /// The fit of each class.
     pub classes: Vec<ClassFit>,
-    /// Mean `distance` of the classes, weighted by their answers: the share of answers whose latency would have to change
-    /// for model and capture to agree.
+    /// Mean `distance` of the classes, weighted by their answers: the share of answers whose latency would have to
+    /// change for model and capture to agree.
     pub unexplained: f64,
     #[serde(skip)]
     pub(crate) scales: WorkScales,
--- a/crates/plan/src/impact.rs
+++ b/crates/plan/src/impact.rs
@@ -29,9 +29,9 @@
     pub refused_after: Interval,
     /// Number of customers that count as rejected only after the change, averaged over seeds.
     pub newly_refused: f64,
-    /// Value served in time as a share of the value requested within quotas, before the change and by its old quotas.
+    /// Value served in time as a share of the value requested within quotas, before the change and by the old quotas.
     pub service_before: Interval,
-    /// The same share after the change, by its new quotas.
+    /// Value served in time as a share of the value requested within quotas, after the change and by the new quotas.
     pub service_after: Interval,
 }
 
@@ -68,7 +68,7 @@
 
 impl RunPair {
     fn run(before: &Fleet, after: &Fleet, source: &Source, seed: u64) -> RunPair {
-        // Demand must not depend on the version, so it is drawn once, by the quotas before the change.
+        // Customers ask for the same under both versions, so demand is drawn once, by the quotas before the change.
         let demand = source.demand(before, 1.0, GrowthBy::Customers, seed);
         let [before, after] = [before, after]
             .map(|fleet| run(&Scenario { record: true, ..Scenario::new(fleet, &demand) }, seed));
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,8 +1,8 @@
 //! The capacity planner.
 //!
-//! From a fleet and its load, which is either captured or described in the fleet file, the planner estimates the minimum
-//! number of backends that meets the objectives, the resources that break first as load grows, and the cost of losing
-//! parts of the fleet. Each estimate has a confidence interval over seeds.
+//! From a fleet and its load, which is either captured or described in the fleet file, the planner estimates the
+//! minimum number of backends that meets the objectives, the resources that break first as load grows, and the cost of
+//! losing parts of the fleet. The figures behind these results have confidence intervals over seeds.
 //!
 //! The planner does no I/O. Seeds run in parallel and their results are combined in seed order, so the same input gives
 //! the same plan.
@@ -60,7 +60,8 @@
         /// Minimum number of backends at the low end of the uncertainty; `None` if no count in range meets the
         /// objectives.
         least_low: Option<u32>,
-        /// Minimum number of backends at the high end of the uncertainty, likewise.
+        /// Minimum number of backends at the high end of the uncertainty; `None` if no count in range meets the
+        /// objectives.
         least_high: Option<u32>,
     },
     /// The load of the busiest day is unknown, since the fleet file has no growth block.
@@ -84,7 +85,7 @@
     pub load: ObservedLoad,
     /// The fit of the model to the captured load; `None` for a described load.
     pub fit: Option<Fit>,
-    /// Reasons to trust the plan less, in sentences.
+    /// What limits the accuracy of the plan, in sentences.
     pub warnings: Vec<String>,
     /// The number of backends for the busiest day.
     pub busiest_day: BusiestDay,
--- a/crates/plan/src/retries.rs
+++ b/crates/plan/src/retries.rs
@@ -33,7 +33,7 @@
     /// Finds the retries among records in time order.
     pub fn find(records: &[Record]) -> Retries {
         let mut retries = Retries::marked_or_keyed(records);
-        // Clients that mark their retries mark all of them, so nothing is left to infer.
+        // If clients mark their retries, none remain to be inferred.
         if retries.marked == 0 {
             retries.infer(records);
         }
@@ -80,18 +80,18 @@
     /// of retries is then chosen among the requests that resemble an unserved try, in order of the likelihood of their
     /// wait. Each unserved try gets at most one retry.
     fn infer(&mut self, records: &[Record]) {
-        let Some(behavior) = RetryBehavior::from_keyed(records) else {
+        let Some(behaviour) = RetryBehaviour::from_keyed(records) else {
             self.undecided = unserved_without_key(records).count();
             return;
         };
-        let candidates = self.candidates(records, &behavior);
-        self.accept(&candidates, behavior.expected_retries(unserved_without_key(records).count()));
+        let candidates = self.candidates(records, &behaviour);
+        self.accept(&candidates, behaviour.expected_retries(unserved_without_key(records).count()));
         let similar: HashSet<usize> = candidates.iter().map(|candidate| candidate.retry).collect();
         self.similar_by_chance = similar.len() - self.inferred.len();
     }
 
     /// Returns the pairs of an unserved try and a similar request soon after it, the likeliest first.
-    fn candidates(&self, records: &[Record], behavior: &RetryBehavior) -> Vec<Candidate> {
+    fn candidates(&self, records: &[Record], behaviour: &RetryBehaviour) -> Vec<Candidate> {
         let ends = unserved_ends(records);
         let mut candidates = Vec::new();
         for (index, record) in records.iter().enumerate() {
@@ -102,7 +102,7 @@
             let from = ends.partition_point(|end| end.at + MAX_RETRY_WAIT <= record.at);
             let until = ends.partition_point(|end| end.at < record.at);
             for end in &ends[from..until] {
-                let likelihood = behavior.likelihood(record.at - end.at);
+                let likelihood = behaviour.likelihood(record.at - end.at);
                 if likelihood > 0.0 && end.record != index {
                     candidates.push(Candidate { likelihood, retry: index, unserved: end.record });
                 }
@@ -176,7 +176,7 @@
 }
 
 /// How clients retry unserved tries, estimated from records that carry an idempotency key.
-struct RetryBehavior {
+struct RetryBehaviour {
     /// Share of unserved first tries that are retried.
     retried_share: f64,
     /// Share of these retries that are unserved too.
@@ -185,9 +185,9 @@
     waits: Vec<f64>,
 }
 
-impl RetryBehavior {
+impl RetryBehaviour {
     /// Estimates the behaviour from the records that carry a key; `None` if there are too few retries among them.
-    fn from_keyed(records: &[Record]) -> Option<RetryBehavior> {
+    fn from_keyed(records: &[Record]) -> Option<RetryBehaviour> {
         let mut by_key: HashMap<u64, Vec<&Record>> = HashMap::new();
         for record in records.iter().filter(|record| record.key != 0) {
             by_key.entry(record.key).or_default().push(record);
@@ -204,7 +204,7 @@
                 *bin += 1.0;
             }
         }
-        (retried >= MIN_KEYED_RETRIES).then(|| RetryBehavior {
+        (retried >= MIN_KEYED_RETRIES).then(|| RetryBehaviour {
             retried_share: retried as f64 / unserved as f64,
             unserved_retry_share: unserved_retries as f64 / retried as f64,
             waits,
--- a/crates/plan/src/search.rs
+++ b/crates/plan/src/search.rs
@@ -10,9 +10,9 @@
 use crate::interval::Interval;
 use crate::source::Source;
 
-/// How many counts are evaluated on either side of the minimum.
-const SHOWN_NEIGHBORS: u32 = 3;
-/// Number of equal steps over the whole range at which counts are evaluated if no count meets the objectives.
+/// Number of counts to evaluate on either side of the minimum.
+const SHOWN_NEIGHBOURS: u32 = 3;
+/// Number of equal steps into which the whole range is divided for display if no count meets the objectives.
 const RANGE_STEPS: u32 = 6;
 
 /// The evaluation of one number of backends.
@@ -39,7 +39,8 @@
     /// Number of these backends in each zone; empty if there is no minimum.
     #[serde(rename = "by_room")]
     pub by_zone: Vec<u32>,
-    /// The lowest evaluated count, from the minimum on, that meets the objectives even at the low end of every interval.
+    /// The lowest evaluated count, from the minimum upwards, that meets the objectives even at the low end of every
+    /// interval.
     pub surely: Option<u32>,
     /// The evaluated counts, in ascending order.
     pub points: Vec<CountPoint>,
@@ -100,8 +101,8 @@
         let (lowest, highest) = self.fleet.objectives.backends;
         match found {
             Some(count) => {
-                for backends in
-                    count.saturating_sub(SHOWN_NEIGHBORS).max(lowest)..=(count + SHOWN_NEIGHBORS).min(highest)
+                for backends in count.saturating_sub(SHOWN_NEIGHBOURS).max(lowest)
+                    ..=(count + SHOWN_NEIGHBOURS).min(highest)
                 {
                     self.at(backends);
                 }
--- a/crates/plan/src/source.rs
+++ b/crates/plan/src/source.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the reasons to trust a plan based on this load less, in sentences.
+    /// Returns what limits the accuracy of a plan based on this load, in sentences.
     pub fn warnings(&self) -> &[String] {
         match self {
             Source::Described => &[],
@@ -56,7 +56,7 @@
 }
 
 fn described_demand(fleet: &Fleet, growth: f64, by: GrowthBy, seed: u64) -> Demand {
-    // The `load` block gives the rate at which to draw customers, so additional customers are drawn rather than copied.
+    // The `load` block determines the number of customers, so additional customers are drawn rather than copied.
     if by == GrowthBy::Customers {
         let mut more = fleet.clone();
         more.load.rate *= growth;
