--- a/crates/plan/src/conclusions.rs
+++ b/crates/plan/src/conclusions.rs
@@ -40,7 +40,7 @@
         plan.least.points.last().filter(|point| point.evaluation.cores_peak.mean < IDLE_PEAK_UTILIZATION);
     if let Some(most) = most {
         sentences.push(format!(
-            "Workers are not what is missing: with {} of them their cores are {:.0}% busy at the peak.",
+            "The number of workers is not the cause: with {} of them, their cores are {:.0}% busy at the peak.",
             most.backends,
             100.0 * most.evaluation.cores_peak.mean
         ));
@@ -54,8 +54,8 @@
             let count =
                 |count: &Option<u32>| count.map_or("no count in range".to_string(), |n| n.to_string());
             format!(
-                "At {growth} times the load seen, {:.0}% of the load planned for was seen and the rest is the growth \
-                 block's word; within its {:.0}% the least count runs from {} to {}.",
+                "At {growth} times the observed load, {:.0}% of the planned load was observed and the growth block \
+                 assumes the rest; within its uncertainty of {:.0}% the least count ranges from {} to {}.",
                 100.0 * seen_part,
                 100.0 * uncertainty,
                 count(least_low),
@@ -80,8 +80,8 @@
     )];
     if let Resource::PlanQuota { .. } = first.resource {
         sentences.push(
-            "Quotas are met before the workers are: what is asked beyond them is refused however many workers \
-             there are, so more workers buy nothing there."
+            "Customers reach their quotas before the workers reach their capacity: requests beyond quota are \
+             refused however many workers there are, so more workers buy nothing there."
                 .into(),
         );
     }
@@ -91,7 +91,7 @@
 fn costliest_loss(fleet: &Fleet, plan: &Plan) -> Option<String> {
     let dearest = plan.losses.iter().max_by(|a, b| a.cost.mean.total_cmp(&b.cost.mean))?;
     Some(format!(
-        "The dearest loss is {}: {:.1}% of the worth asked for while it lasts.",
+        "The costliest loss is {}: {:.1}% of the worth asked for while it lasts.",
         dearest.kind.name(fleet),
         100.0 * dearest.cost.mean
     ))
@@ -102,6 +102,6 @@
     Some(if gain.low > 0.0 {
         format!("One worker more than the least gains {:.2}% of the worth asked for.", 100.0 * gain.mean)
     } else {
-        "One worker more than the least gains no worth that these runs could tell from none.".into()
+        "One worker more than the least gains no measurable worth in these runs.".into()
     })
 }
--- a/crates/plan/src/first_tries.rs
+++ b/crates/plan/src/first_tries.rs
@@ -222,21 +222,21 @@
     let scaled: f64 = tries.iter().map(|first_try| first_try.weight).sum::<f64>() / tries.len() as f64 - 1.0;
     if scaled > 0.0 {
         warnings.push(format!(
-            "{:.1}% of the demand planned for is an estimate of what the capture lacks",
+            "{:.1}% of the planned demand is an estimate of what the capture lacks",
             100.0 * scaled / (1.0 + scaled)
         ));
     }
     if retries.undecided > 0 {
         warnings.push(format!(
-            "retries are not marked and too few bear a key: {} unserved requests without one may have come \
-             again, and their retries are planned for as demand",
+            "retries are not marked and too few carry an idempotency key: {} unserved requests without a key may \
+             have been retried, and their retries count as demand",
             retries.undecided
         ));
     }
     if retries.inferred() + retries.similar_by_chance > 0 {
         warnings.push(format!(
-            "retries are not marked: {} requests like an unserved one just before were left out as retries, {} \
-             kept as alike by chance, by what retries with a key tell",
+            "retries are not marked: of the requests that resemble an unserved one shortly before, {} were left \
+             out as retries and {} kept as similar by chance, estimated from the retries with a key",
             retries.inferred(),
             retries.similar_by_chance
         ));
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -125,7 +125,7 @@
     let least = search::least(fleet, source, factor, by, seeds);
     let busiest_day = match growth {
         Some(growth) => {
-            progress("least workers at the ends of the growth", 0.3);
+            progress("least workers at both ends of the growth's uncertainty", 0.3);
             stated_busiest_day(fleet, source, growth, seeds)
         }
         None => unstated_busiest_day(&today),
@@ -172,9 +172,9 @@
 fn unstated_busiest_day(today: &Evaluation) -> BusiestDay {
     BusiestDay::Refused {
         why: format!(
-            "the load seen uses {:.0}% of the workers' cores on average and {:.0}% at its peak; nothing says \
-             how far the busiest day lies above it. Add a growth block to the fleet file, as growth {{ load \
-             = 1.8 }}",
+            "the observed load uses {:.0}% of the workers' cores on average and {:.0}% at its peak, and nothing \
+             states how far the busiest day exceeds it. Add a growth block to the fleet file, such as growth \
+             {{ load = 1.8 }}",
             100.0 * today.cores_mean.mean,
             100.0 * today.cores_peak.mean
         ),
@@ -184,7 +184,8 @@
 fn warnings(source: &Source, growth: Option<&Growth>, today: &Evaluation) -> Vec<String> {
     let mut warnings = source.warnings().to_vec();
     if growth.is_none() && today.cores_mean.mean < QUIET_DAY_UTILIZATION {
-        warnings.push("the load seen is that of a quiet day: the counts below are for such a day".into());
+        warnings
+            .push("the observed load is that of a quiet day, so the counts below apply to such a day".into());
     }
     warnings
 }
--- a/crates/plan/src/losses.rs
+++ b/crates/plan/src/losses.rs
@@ -49,7 +49,7 @@
     pub fn name(&self, fleet: &Fleet) -> String {
         match self {
             LossKind::Zone { zone } => format!("losing {}", fleet.zones[*zone].name),
-            LossKind::SilentZone { zone } => format!("losing {} without a word", fleet.zones[*zone].name),
+            LossKind::SilentZone { zone } => format!("losing {} silently", fleet.zones[*zone].name),
             LossKind::Backends { share } => format!("losing {:.0}% of the workers at once", 100.0 * share),
             LossKind::Counter => "losing the quota counter".into(),
         }
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -20,8 +20,8 @@
         load(&plan.load),
         plan.fit.as_ref().map(fit).unwrap_or_default(),
         small_print(&format!(
-            "{} seeds back every figure; ± is half a 95% interval by Student's t. Service is the worth \
-             answered in time over the worth asked for inside quotas.",
+            "Every figure is based on {} seeds; ± is half the width of a 95% interval by Student's t. Service is \
+             the worth answered in time as a share of the worth asked for within quotas.",
             plan.seeds
         )),
     ]
@@ -48,12 +48,12 @@
 fn backends(fleet: &Fleet, plan: &Plan) -> String {
     let plot = figure(
         &plots::backends(fleet, plan),
-        "Each count is run on the same seeds. An aim is kept where the share in time reaches it over the whole run \
-         and lies below it in the class's worst 10 s by no more than chance.",
+        "Every count is run on the same seeds. An aim is kept if the share in time reaches it over the whole run and \
+         falls below it in the class's worst 10 s by no more than chance explains.",
     );
     let growth = match &plan.busiest_day {
         BusiestDay::Stated { growth, uncertainty, seen_part, .. } => small_print(&format!(
-            "Planned for {growth} times the load seen, ± {}. {} of that load was seen.",
+            "Planned for {growth} times the observed load, ± {}. {} of the planned load was observed.",
             percent(*uncertainty),
             percent(*seen_part)
         )),
@@ -88,10 +88,10 @@
 
 fn breaks(fleet: &Fleet, plan: &Plan) -> String {
     let utilization =
-        figure(&plots::utilization(fleet, plan), "Peaks: the mean of the busiest twentieth of seconds.");
+        figure(&plots::utilization(fleet, plan), "Each peak is the mean over the busiest 5% of seconds.");
     let latency = figure(
         &plots::latency(fleet, plan),
-        &format!("Latency of {} as clients see it, of the try that was served.", fleet.classes[0].name),
+        &format!("Latency of {} as clients see it, for the try that was served.", fleet.classes[0].name),
     );
     let rows = plan.breaks.breaks.iter().map(|found| {
         Row::plain(vec![found.name.clone(), format!("{:.2}", found.multiple), range(&found.interval)])
@@ -101,7 +101,7 @@
 }
 
 fn losses(plan: &Plan) -> String {
-    let costs = figure(&plots::losses(plan), "Differences to the same seeds without the loss.");
+    let costs = figure(&plots::losses(plan), "Differences from the same seeds without the loss.");
     let timeline = figure(&plots::timeline(plan), "Worth in time by the second in which it was asked for.");
     let rows = plan.losses.iter().map(|loss| {
         let figures = [&loss.cost, &loss.cost_whole, &loss.evaluation.service];
@@ -125,7 +125,7 @@
     let head = to_strings(&["Plan", "Customers", "Units a second", "Of their quotas", "Near or over quota"]);
     format!(
         "<h2>The load</h2>\n<p>{from}: {:.1} first tries a second over {:.0} s, {:.2} times that in the busiest 10 s; \
-         their work is {} of what the warm fleet does.</p>\n{}",
+         their work is {} of the capacity of the warm fleet.</p>\n{}",
         load.first_tries_per_s,
         load.length_s,
         load.peak,
@@ -141,7 +141,7 @@
         "<h2>How far the model explains the capture</h2>\n{}{}",
         table(&to_strings(&head), rows),
         small_print(&format!(
-            "{} of the answers would have to come at another time for model and capture to agree.",
+            "{} of the answers would need a different latency for model and capture to agree.",
             percent(fit.unexplained)
         ))
     )
--- a/crates/report/src/plots.rs
+++ b/crates/report/src/plots.rs
@@ -70,7 +70,7 @@
     let axes = Axes {
         min_y: Some(0.0),
         mark_x: first.map(|b| Mark { at: b.multiple, name: format!("first: {}", b.name.to_lowercase()) }),
-        ..Axes::new("times today's load", "% of what there is, at its peak")
+        ..Axes::new("times today's load", "% of capacity at the peak")
     };
     let all = [
         line("worker cores", &|evaluation| evaluation.cores_peak.mean),
--- a/crates/report/src/plots/bars.rs
+++ b/crates/report/src/plots/bars.rs
@@ -53,7 +53,7 @@
         .disable_y_mesh()
         .light_line_style(WHITE)
         .bold_line_style(MESH_COLOUR)
-        .x_desc("% of the worth asked for that is lost while it lasts (lines: 95% intervals)")
+        .x_desc("% of the worth asked for during the loss that is lost (lines: 95% intervals)")
         .axis_desc_style((FONT, AXIS_FONT_SIZE))
         .label_style((FONT, LABEL_FONT_SIZE))
         .y_labels(0)
--- a/crates/report/src/text.rs
+++ b/crates/report/src/text.rs
@@ -72,7 +72,7 @@
         "first tries".into(),
         format!("{:.1}/s over {:.0} s", load.first_tries_per_s, load.length_s),
         format!("busiest 10 s: x {:.2}", load.peak),
-        format!("{} of the fleet's cores, were all let through", percent(load.work_share)),
+        format!("{} of the fleet's cores if all were let through", percent(load.work_share)),
     ]];
     for class in &load.classes {
         let peak = format!("busiest 10 s: x {:.2}", class.peak);
