--- a/crates/plan/src/conclusions.rs
+++ b/crates/plan/src/conclusions.rs
@@ -89,11 +89,11 @@
 }
 
 fn costliest_loss(fleet: &Fleet, plan: &Plan) -> Option<String> {
-    let dearest = plan.losses.iter().max_by(|a, b| a.cost.mean.total_cmp(&b.cost.mean))?;
+    let costliest = plan.losses.iter().max_by(|a, b| a.cost.mean.total_cmp(&b.cost.mean))?;
     Some(format!(
         "The costliest loss is {}: {:.1}% of the worth asked for while it lasts.",
-        dearest.kind.name(fleet),
-        100.0 * dearest.cost.mean
+        costliest.kind.name(fleet),
+        100.0 * costliest.cost.mean
     ))
 }
 
--- a/crates/plan/src/growth.rs
+++ b/crates/plan/src/growth.rs
@@ -21,39 +21,41 @@
     if growth == 1.0 {
         return Demand { arrivals, length };
     }
-    let mut scale_demand = match by {
+    let mut scaled = match by {
         GrowthBy::Use => repeat_requests(&arrivals, length, growth, seed),
         GrowthBy::Customers => repeat_customers(&arrivals, length, growth, seed),
     };
-    sort(&mut scale_demand);
-    Demand { arrivals: scale_demand, length }
+    sort(&mut scaled);
+    Demand { arrivals: scaled, length }
 }
 
+/// Copies or drops each request independently.
 fn repeat_requests(arrivals: &[Arrival], length: Micros, growth: f64, seed: u64) -> Vec<Arrival> {
     let rng = &mut stream(seed, Concern::Resampling, USE_STREAM);
-    let mut scale_demand = Vec::new();
+    let mut scaled = Vec::new();
     for arrival in arrivals {
         for copy in 0..draw_copy_count(growth, rng) {
             let at = if copy > 0 { jitter_time(arrival.at, length, rng) } else { arrival.at };
-            scale_demand.push(Arrival { at, ..*arrival });
+            scaled.push(Arrival { at, ..*arrival });
         }
     }
-    scale_demand
+    scaled
 }
 
+/// Copies or drops each customer with all its requests.
 fn repeat_customers(arrivals: &[Arrival], length: Micros, growth: f64, seed: u64) -> Vec<Arrival> {
     let mut shifts: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
-    let mut scale_demand = Vec::new();
+    let mut scaled = Vec::new();
     for arrival in arrivals {
         let customer = arrival.customer;
         let shifts = shifts.entry(customer).or_insert_with(|| customer_shifts(customer, growth, seed));
         for (copy, shift) in shifts.iter().enumerate() {
             let at = (arrival.at as f64 + shift).clamp(0.0, length.saturating_sub(1) as f64) as Micros;
             let customer = if copy > 0 { mix_bits(customer ^ copy as u64) } else { customer };
-            scale_demand.push(Arrival { at, customer, first: arrival.first + copy as u32, ..*arrival });
+            scaled.push(Arrival { at, customer, first: arrival.first + copy as u32, ..*arrival });
         }
     }
-    scale_demand
+    scaled
 }
 
 /// Returns the shift in time of each copy of a customer. The first copy is the customer itself and is not shifted.
@@ -72,6 +74,6 @@
 
 /// Draws the time for a copy of a request that arrived at `at`, within a load of the given length.
 pub fn jitter_time(at: Micros, length: Micros, rng: &mut Stream) -> Micros {
-    let to = at as f64 + REQUEST_JITTER * (2.0 * rng.random::<f64>() - 1.0);
-    to.clamp(0.0, length.saturating_sub(1) as f64) as Micros
+    let time = at as f64 + REQUEST_JITTER * (2.0 * rng.random::<f64>() - 1.0);
+    time.clamp(0.0, length.saturating_sub(1) as f64) as Micros
 }
--- a/crates/plan/src/losses.rs
+++ b/crates/plan/src/losses.rs
@@ -26,8 +26,8 @@
         #[serde(rename = "room")]
         zone: usize,
     },
-    /// The backends of a zone, and the quota counter if it is in that zone, whose machines are cut off: connections stay
-    /// open and no reply arrives.
+    /// The backends of a zone whose machines are cut off, and the quota counter if it is in that zone: connections
+    /// stay open and no reply arrives.
     #[serde(rename = "silent_room")]
     SilentZone {
         /// The zone's index in the fleet.
--- a/crates/plan/src/retries.rs
+++ b/crates/plan/src/retries.rs
@@ -50,6 +50,7 @@
         self.inferred.len()
     }
 
+    /// Finds the retries that clients marked or that repeat a key.
     fn marked_or_keyed(records: &[Record]) -> Retries {
         let mut retries = Retries {
             marked: 0,
@@ -148,6 +149,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct UnservedEnd {
     at: Micros,
+    /// Index of the record.
     record: usize,
 }
 
@@ -165,6 +167,7 @@
     records.iter().enumerate().filter(move |(_, record)| is_unserved(record))
 }
 
+/// Returns when the unserved tries without a key ended, in time order for each kind of request.
 fn unserved_ends(records: &[Record]) -> HashMap<RequestKind, Vec<UnservedEnd>> {
     let mut ends: HashMap<RequestKind, Vec<UnservedEnd>> = HashMap::new();
     for (index, record) in unserved_without_key(records) {
--- a/crates/plan/src/search.rs
+++ b/crates/plan/src/search.rs
@@ -12,7 +12,7 @@
 
 /// Number of counts to evaluate on either side of the minimum.
 const SHOWN_NEIGHBOURS: u32 = 3;
-/// Number of equal steps into which the whole range is divided for display if no count meets the objectives.
+/// Number of equal steps over the range at whose ends counts are evaluated if no count meets the objectives.
 const RANGE_STEPS: u32 = 6;
 
 /// The evaluation of one number of backends.
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -13,7 +13,7 @@
 pub fn page(fleet: &Fleet, plan: &Plan) -> String {
     let name = escape(&plan.fleet);
     let body = [
-        answer(&name, plan),
+        summary(&name, plan),
         backends(fleet, plan),
         breaks(fleet, plan),
         losses(plan),
@@ -33,7 +33,7 @@
     )
 }
 
-fn answer(name: &str, plan: &Plan) -> String {
+fn summary(name: &str, plan: &Plan) -> String {
     let mut body = format!("<h1>Capacity plan: {name}</h1>\n<ul class=\"answer\">\n");
     for conclusion in &plan.conclusions {
         body.push_str(&format!("<li>{}</li>\n", escape(conclusion)));
