--- a/crates/plan/src/conclusions.rs
+++ b/crates/plan/src/conclusions.rs
@@ -1,19 +1,19 @@
-//! What follows from a plan, in sentences.
+//! Summarizes a plan in sentences.
 
 use sedgestack_fleet::Fleet;
 
 use crate::breaks::{Resource, Sweep};
 use crate::{BusiestDay, Plan};
 
-/// Backends whose cores are no busier than this at their peak are not what an objective is missed by.
-const IDLE_PEAK: f64 = 0.6;
+/// Below this peak utilization of their cores, the backends are not the reason why an objective is missed.
+const IDLE_PEAK_UTILIZATION: f64 = 0.6;
 
-/// The sentences that a plan begins with, the answer first.
+/// Returns the sentences that summarize a plan, beginning with the minimum number of backends.
 pub fn conclusions(fleet: &Fleet, plan: &Plan) -> Vec<String> {
-    let mut sentences = minimum(fleet, plan);
+    let mut sentences = minimum_backends(fleet, plan);
     sentences.push(busiest_day(&plan.busiest_day));
     sentences.extend(first_break(fleet, &plan.breaks));
-    sentences.extend(dearest_loss(fleet, plan));
+    sentences.extend(costliest_loss(fleet, plan));
     sentences.extend(one_more(plan));
     sentences
 }
@@ -29,17 +29,18 @@
     objectives.join(" and ")
 }
 
-fn minimum(fleet: &Fleet, plan: &Plan) -> Vec<String> {
+fn minimum_backends(fleet: &Fleet, plan: &Plan) -> Vec<String> {
     let objectives = objectives(fleet);
     if let Some(count) = plan.least.backends {
         return vec![format!("{count} workers keep {objectives}; there are {} today.", plan.backends_today)];
     }
     let (lowest, highest) = fleet.objectives.backends;
     let mut sentences = vec![format!("No count from {lowest} to {highest} keeps {objectives}.")];
-    let most = plan.least.points.last().filter(|point| point.evaluation.cores_peak.mean < IDLE_PEAK);
+    let most =
+        plan.least.points.last().filter(|point| point.evaluation.cores_peak.mean < IDLE_PEAK_UTILIZATION);
     if let Some(most) = most {
         sentences.push(format!(
-            "Workers are not what is missing: with {} of them their cores are {:.0}% busy at the peak.",
+            "The number of workers is not the cause: with {} of them, their cores are {:.0}% busy at the peak.",
             most.backends,
             100.0 * most.evaluation.cores_peak.mean
         ));
@@ -53,8 +54,8 @@
             let count =
                 |count: &Option<u32>| count.map_or("no count in range".to_string(), |n| n.to_string());
             format!(
-                "At {growth} times the load seen, {:.0}% of the load planned for was seen and the rest is the growth \
-                 block's word; within its {:.0}% the least count runs from {} to {}.",
+                "At {growth} times the observed load, {:.0}% of the planned load was observed and the growth block \
+                 assumes the rest; within its uncertainty of {:.0}% the least count ranges from {} to {}.",
                 100.0 * seen_part,
                 100.0 * uncertainty,
                 count(least_low),
@@ -79,20 +80,20 @@
     )];
     if let Resource::PlanQuota { .. } = first.resource {
         sentences.push(
-            "Quotas are met before the workers are: what is asked beyond them is refused however many workers \
-             there are, so more workers buy nothing there."
+            "Customers reach their quotas before the workers reach their capacity: requests beyond quota are \
+             refused however many workers there are, so more workers buy nothing there."
                 .into(),
         );
     }
     sentences
 }
 
-fn dearest_loss(fleet: &Fleet, plan: &Plan) -> Option<String> {
-    let dearest = plan.losses.iter().max_by(|a, b| a.cost.mean.total_cmp(&b.cost.mean))?;
+fn costliest_loss(fleet: &Fleet, plan: &Plan) -> Option<String> {
+    let costliest = plan.losses.iter().max_by(|a, b| a.cost.mean.total_cmp(&b.cost.mean))?;
     Some(format!(
-        "The dearest loss is {}: {:.1}% of the worth asked for while it lasts.",
-        dearest.kind.name(fleet),
-        100.0 * dearest.cost.mean
+        "The costliest loss is {}: {:.1}% of the worth asked for while it lasts.",
+        costliest.kind.name(fleet),
+        100.0 * costliest.cost.mean
     ))
 }
 
@@ -101,6 +102,6 @@
     Some(if gain.low > 0.0 {
         format!("One worker more than the least gains {:.2}% of the worth asked for.", 100.0 * gain.mean)
     } else {
-        "One worker more than the least gains no worth that these runs could tell from none.".into()
+        "One worker more than the least gains no measurable worth in these runs.".into()
     })
 }
