--- a/crates/kit/src/bounds.rs
+++ b/crates/kit/src/bounds.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit bound`.
+//! `sedgestack-kit bound`: computes how far all limiters together can exceed a quota under leases.
 
 use std::path::PathBuf;
 
@@ -14,8 +14,9 @@
 use crate::output::{Format, Verdict};
 
 const SECOND: Micros = 1_000_000;
-/// The spans for which bounds are stated; a target is for the longer one.
+/// The shorter of the two spans for which bounds are computed.
 const SHORT_SPAN: Micros = 10 * SECOND;
+/// The longer span, to which the target of `--at-most` applies.
 const LONG_SPAN: Micros = 60 * SECOND;
 
 #[derive(Args)]
@@ -24,30 +25,30 @@
   sedgestack-kit bound deploy/fleet-sample.hcl --share 25 --counters 2
   sedgestack-kit bound deploy/fleet-sample.hcl --at-most 110 --format json
 
-The bound holds for leases (docs/design/0005-leases-of-quota.md); no limiter goes by them yet. Exit status: 0 the bound
-is told and a target is kept, 1 no share keeps the target, 2 bad input.")]
+The bound holds for quota leases (docs/design/0005-leases-of-quota.md), which limiters do not use yet. Exit status:
+0 the bound was computed and any target is kept, 1 no share keeps the target, 2 bad input.")]
 pub struct Arguments {
     /// The fleet file
     fleet: PathBuf,
-    /// Of a window's allowance, what limiters have without the counter, all together, percent
+    /// Percentage of a window's allowance that all limiters together may send without asking the counter
     #[arg(long, value_name = "PERCENT", default_value_t = 10.0)]
     share: f64,
-    /// Of a window's allowance, what the counter hands out, percent
+    /// Percentage of a window's allowance that the counter grants
     #[arg(long, value_name = "PERCENT", default_value_t = 100.0)]
     counter: f64,
-    /// Of a window's allowance, what the limiters in charge of a customer hand out, percent
+    /// Percentage of a window's allowance that the limiters responsible for a customer grant
     #[arg(long, value_name = "PERCENT", default_value_t = 0.0)]
     lent: f64,
-    /// Counters that may hand out one window's allowance: 2 where one may lose its totals within a window
+    /// Number of counters that may grant the same window's allowance: 2 if one may lose its totals within a window
     #[arg(long, default_value_t = 1)]
     counters: u32,
-    /// How far a limiter's clock may be from true time
+    /// Maximum difference between a limiter's clock and true time
     #[arg(long, value_name = "MS", default_value_t = 100)]
     skew_ms: u64,
-    /// From the check of a request's lease to its last byte at a worker, at most
+    /// Maximum time from the check of a request's lease to its last byte at a worker
     #[arg(long, value_name = "MS", default_value_t = 50)]
     under_way_ms: u64,
-    /// Finds the largest shares that keep any minute within so much of the quota, in place of --share
+    /// Finds the largest shares that keep every minute within this percentage of the quota, in place of --share
     #[arg(long, value_name = "PERCENT", conflicts_with = "share")]
     at_most: Option<f64>,
 }
@@ -58,13 +59,13 @@
     plan: String,
     window_ms: u64,
     share_percent: f64,
-    /// How old the usage that a limiter acts on can be.
+    /// Maximum age of the usage that a limiter acts on.
     staleness_ms: u64,
     ten_seconds: Bound,
     minute: Bound,
 }
 
-/// Prints the bound of each plan.
+/// Computes and prints the bound of each plan.
 pub fn run(arguments: &Arguments, format: Format) -> Result<Verdict, KitError> {
     let fleet = read_fleet(&arguments.fleet)?;
     let (mut rows, mut unreachable) = (Vec::new(), Vec::new());
@@ -85,7 +86,7 @@
     Ok(Verdict::from_bool(unreachable.is_empty()))
 }
 
-/// The bound of one plan; the inner error says why no share keeps the target.
+/// Computes the bound of one plan. The inner error says why no share keeps the target.
 fn row(arguments: &Arguments, fleet: &Fleet, plan: &Plan) -> Result<Result<Row, TargetError>, KitError> {
     let terms = terms(arguments, plan);
     let checked = terms.check(fleet.counter.timeout);
@@ -108,7 +109,7 @@
     Terms {
         rate: plan.rate,
         burst: plan.burst,
-        // The more limiters, the smaller each share: together they come to the same.
+        // Every value of the range gives the same bound, as `share_part` is the sum over all limiters.
         spread: plan.spread.1,
         counter_part: arguments.counter / 100.0,
         lent_part: arguments.lent / 100.0,
@@ -120,10 +121,10 @@
     }
 }
 
-/// The bounds and the terms that each is made of, as two tables.
+/// Formats the bounds, and the terms that each consists of, as two tables.
 fn text(rows: &[Row]) -> String {
     let mut out = format!(
-        "Most units that all limiters together send for a customer, whatever fails\n{}\n",
+        "Maximum units that all limiters together send for a customer, whatever fails\n{}\n",
         bounds_table(rows)
     );
     if let Some(first) = rows.first() {
@@ -137,7 +138,7 @@
         "plan",
         "window s",
         "shares",
-        "acts on at most s old",
+        "maximum staleness (s)",
         "in 10 s",
         "of quota",
         "in a minute",
@@ -158,7 +159,7 @@
     table(&head, rows.iter().map(cells).collect())
 }
 
-/// How much each term adds to the quota in a minute; all rows have the terms of `first`.
+/// Tabulates how much each term adds to the quota in a minute. All rows have the same terms as `first`.
 fn terms_table(rows: &[Row], first: &Row) -> Table {
     let names = first.minute.terms.iter().map(|term| term.name);
     let head: Vec<&str> = std::iter::once("over the quota in a minute, units").chain(names).collect();
--- a/crates/kit/src/bounds/tests.rs
+++ b/crates/kit/src/bounds/tests.rs
@@ -1,4 +1,4 @@
-//! The bound of each plan of the sample fleet, by command line.
+//! Tests of the bounds that `sedgestack-kit bound` computes for the plans of the sample fleet.
 
 use super::*;
 use crate::{Cli, Command};
@@ -6,34 +6,34 @@
 
 fn arguments(line: &str) -> Arguments {
     let words = ["sedgestack-kit", "bound", "fleet.hcl"].into_iter().chain(line.split_whitespace());
-    match Cli::try_parse_from(words).expect("words of this command").command {
+    match Cli::try_parse_from(words).expect("a valid command line").command {
         Command::Bound(arguments) => arguments,
-        _ => unreachable!("it is bound"),
+        _ => unreachable!("the command is bound"),
     }
 }
 
 fn rows(line: &str) -> Vec<Result<Result<Row, TargetError>, KitError>> {
     let text = include_str!("../../../../deploy/fleet-sample.hcl");
-    let fleet = Fleet::parse("fleet-sample.hcl", text).expect("in order");
+    let fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample fleet is valid");
     fleet.plans.iter().map(|plan| row(&arguments(line), &fleet, plan)).collect()
 }
 
 #[test]
-fn the_largest_shares_within_a_target_reach_it_exactly() {
+fn largest_shares_reach_the_target_exactly() {
     for row in rows("--at-most 110") {
-        let row = row.expect("good input").expect("shares of some percent keep it");
+        let row = row.expect("valid input").expect("some share keeps the target");
         assert!((row.minute.part() - 1.1).abs() < 1e-6 && row.share_percent > 1.0, "{}", row.plan);
     }
 }
 
 #[test]
-fn an_unreachable_target_names_its_largest_term_and_bad_parts_name_their_plan() {
-    let reason = rows("--at-most 130 --counters 2").remove(0).expect("good input").err();
+fn errors_name_the_largest_term_or_the_plan() {
+    let reason = rows("--at-most 130 --counters 2").remove(0).expect("valid input").err();
     assert!(reason
-        .expect("twice the quota")
+        .expect("two counters alone exceed the target")
         .to_string()
         .starts_with("counters that lost their totals alone"));
-    let error = rows("--share 300").remove(0).err().expect("no part is over 1");
+    let error = rows("--share 300").remove(0).err().expect("a part above 1 is invalid");
     assert_eq!(
         error.to_string(),
         "plan basico: counter_part, lent_part and share_part: expected 0 to 1 each, and one of them over 0"
--- a/crates/kit/src/campaign.rs
+++ b/crates/kit/src/campaign.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit campaign`: timelines of faults drawn from seeds, played on tiers of real limiters.
+//! `sedgestack-kit campaign`: generates timelines of faults from seeds and plays them on tiers of real limiters.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -17,8 +17,8 @@
 use crate::output::{progress_bar, set_progress, Format, Verdict};
 use crate::timeline::summary;
 
-/// Broken invariants that are printed of a seed at most.
-const MOST_BROKEN_SHOWN: usize = 5;
+/// Maximum number of violated invariants that are printed for a seed.
+const MAX_VIOLATIONS_SHOWN: usize = 5;
 
 #[derive(Args)]
 #[command(after_help = "Examples:
@@ -26,40 +26,41 @@
   sedgestack-kit campaign deploy/fleet-sample.hcl --limiters 9 --seeds 50 --jobs 2
   sedgestack-kit campaign deploy/fleet-sample.hcl --first 17 --seeds 1
 
-Each seed draws a timeline of faults, plays it on a tier of real limiters under load, takes all faults back and judges
-the record: one history, every answer under a version in force, every change made, void or told so. A seed that fails
-is cut down to the fewest steps that still fail, and these are printed as a timeline for `rehearse --faults`.
-Exit status: 0 all held, 1 one did not, 2 bad input or no daemon.")]
+Each seed generates a timeline of faults, which is played on a tier of real limiters under load. Then all faults are
+removed and the record is checked: all limiters have the same history, every answer was given under the version active
+at that time, and the outcome of every change was reported. A failing timeline is reduced to the fewest steps that
+still fail, which are printed as a timeline for `rehearse --faults`.
+Exit status: 0 all timelines passed, 1 one failed, 2 bad input or no daemon.")]
 pub struct Arguments {
     /// The fleet file
     fleet: PathBuf,
-    /// Limiters in each tier
+    /// Number of limiters in each tier
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(2..=9))]
     limiters: u32,
-    /// Timelines to play
+    /// Number of timelines to play
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..))]
     seeds: u64,
-    /// The first seed
+    /// Seed of the first timeline; each further one uses the next seed
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// Tiers that run side by side
+    /// Number of tiers that run in parallel
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u64).range(1..=16))]
     jobs: u64,
-    /// Does not cut failing timelines down, which takes as many plays as they have steps
+    /// Skips the reduction of failing timelines, which plays a timeline again for each of its steps
     #[arg(long)]
     whole: bool,
-    /// The daemon; the `sedgestack` beside this program, or in target/release, without
+    /// Path of the daemon; defaults to `sedgestack` in this program's folder, else in target/release
     #[arg(long, value_name = "FILE")]
     daemon: Option<PathBuf>,
 }
 
-/// The timeline of one seed, as it was played.
+/// The result of playing the timeline of one seed.
 struct SeedResult {
     seed: u64,
     result: Result<Played, Failure>,
 }
 
-/// A seed whose tier broke an invariant, and its shortest timeline that still does.
+/// A seed whose timeline violated an invariant, and the shortest timeline that still does.
 #[derive(Serialize)]
 struct FailedSeed<'a> {
     seed: u64,
@@ -67,37 +68,37 @@
     timeline: String,
 }
 
-/// Sums over all played timelines.
+/// Totals over all played timelines.
 #[derive(Default)]
 struct Totals {
     answers: usize,
-    begun: u32,
-    made: u32,
-    ruins: u32,
-    ruins_ended: u32,
+    changes_begun: u32,
+    versions_activated: u32,
+    harmful_changes: u32,
+    harmful_changes_undone: u32,
     largest_mixing_us: u64,
 }
 
 impl Totals {
     fn add(&mut self, played: &Played) {
         self.answers += played.found.answers;
-        self.begun += played.begun;
-        self.made += played.made;
-        self.ruins += u32::from(played.ruin.is_some());
-        let ended = played.ruin.as_ref().is_some_and(|ruin| ruin.undone_after_ms.is_some());
-        self.ruins_ended += u32::from(ended);
+        self.changes_begun += played.begun;
+        self.versions_activated += played.made;
+        self.harmful_changes += u32::from(played.ruin.is_some());
+        let undone = played.ruin.as_ref().is_some_and(|cost| cost.undone_after_ms.is_some());
+        self.harmful_changes_undone += u32::from(undone);
         self.largest_mixing_us = self.largest_mixing_us.max(played.found.largest_mixing_us);
     }
 }
 
-/// A campaign that is run.
+/// A campaign with its inputs loaded.
 struct Campaign<'a> {
     arguments: &'a Arguments,
     fleet: Fleet,
     daemon: PathBuf,
 }
 
-/// Plays seed after seed and prints what came of them.
+/// Plays the timelines of all seeds and prints the results.
 pub fn run(arguments: &Arguments, format: Format) -> Result<Verdict, KitError> {
     let fleet = read_fleet(&arguments.fleet)?;
     let daemon = find_daemon(arguments.daemon.as_deref())?;
@@ -132,7 +133,7 @@
 }
 
 impl Campaign<'_> {
-    /// Plays all seeds, as many side by side as there are jobs; the results are in the order of the seeds.
+    /// Plays all seeds, with one thread for each job. The results are sorted by seed.
     fn play_all(&self) -> Vec<SeedResult> {
         let next = AtomicU64::new(0);
         let results: Mutex<Vec<SeedResult>> = Mutex::default();
@@ -158,9 +159,9 @@
         results
     }
 
-    /// Plays one seed; one that does not hold is reported at once.
+    /// Plays one seed; prints a summary at once if it fails.
     fn play(&self, seed: u64) -> SeedResult {
-        let result = self.for_seed(seed).run(&draw(seed, self.arguments.limiters));
+        let result = self.play_setup(seed).run(&draw(seed, self.arguments.limiters));
         if let Some(broken) = result.as_ref().ok().filter(|played| !played.holds()) {
             eprintln!("seed {seed}: {}", summary(broken));
             broken.stuck.iter().for_each(|limiter| eprintln!("{limiter}"));
@@ -168,16 +169,16 @@
         SeedResult { seed, result }
     }
 
-    /// The timeline of a seed that failed: cut down, unless the whole one is wanted.
+    /// Returns the timeline of a failed seed, reduced to the fewest steps that still fail unless `--whole` is set.
     fn shortest_timeline(&self, seed: u64) -> Result<String, KitError> {
         let mut steps = draw(seed, self.arguments.limiters);
         if !self.arguments.whole {
-            steps = self.for_seed(seed).cut_down(steps)?;
+            steps = self.play_setup(seed).cut_down(steps)?;
         }
         Ok(steps.iter().map(Step::to_string).collect::<Vec<_>>().join("\n"))
     }
 
-    fn for_seed(&self, seed: u64) -> Play<'_> {
+    fn play_setup(&self, seed: u64) -> Play<'_> {
         let limiters = self.arguments.limiters;
         Play { fleet: &self.fleet, daemon: self.daemon.clone(), limiters, seed }
     }
@@ -186,31 +187,31 @@
 fn print_json(arguments: &Arguments, seeds: usize, totals: &Totals, failed: &[FailedSeed<'_>]) {
     println!(
         "{}",
-        json!({"seeds": seeds, "limiters": arguments.limiters, "answers": totals.answers, "begun": totals.begun,
-               "made": totals.made, "ruins": totals.ruins, "ruins_ended": totals.ruins_ended,
-               "largest_mixing_us": totals.largest_mixing_us, "failed": failed})
+        json!({"seeds": seeds, "limiters": arguments.limiters, "answers": totals.answers,
+               "begun": totals.changes_begun, "made": totals.versions_activated, "ruins": totals.harmful_changes,
+               "ruins_ended": totals.harmful_changes_undone, "largest_mixing_us": totals.largest_mixing_us, "failed": failed})
     );
 }
 
 fn print_text(arguments: &Arguments, results: &[SeedResult], totals: &Totals, failed: &[FailedSeed<'_>]) {
     for FailedSeed { seed, played, timeline } in failed {
         println!("seed {seed}: {}", summary(played));
-        played.found.broken.iter().take(MOST_BROKEN_SHOWN).for_each(|broken| println!("  {broken:?}"));
+        played.found.broken.iter().take(MAX_VIOLATIONS_SHOWN).for_each(|broken| println!("  {broken:?}"));
         println!("{timeline}\n");
     }
     let played = results.iter().filter(|result| result.result.is_ok()).count();
     println!(
-        "{} timelines with {} limiters: {} held, {} failed; {} answers, {} changes begun, {} versions made; {} ruins \
-         made, {} ended; largest mixing {} us",
+        "{} timelines with {} limiters: {} passed, {} failed; {} answers, {} changes begun, {} versions activated; \
+         {} harmful changes, {} of them undone; largest version mixing {} us",
         results.len(),
         arguments.limiters,
         played - failed.len(),
         failed.len(),
         totals.answers,
-        totals.begun,
-        totals.made,
-        totals.ruins,
-        totals.ruins_ended,
+        totals.changes_begun,
+        totals.versions_activated,
+        totals.harmful_changes,
+        totals.harmful_changes_undone,
         totals.largest_mixing_us
     );
 }
--- a/crates/kit/src/captures.rs
+++ b/crates/kit/src/captures.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit capture`.
+//! `sedgestack-kit capture`: shows, checks, merges and generates captures.
 
 mod show;
 
@@ -16,7 +16,7 @@
 use crate::input::{read_captures, read_fleet, scenario};
 use crate::output::{Format, Verdict};
 
-/// The hash key of drawn captures: their customers are made up.
+/// The key that hashes customers in generated captures. It need not be secret, as these customers are artificial.
 const DRAWN_KEY: [u8; 16] = *b"sedgestack-drawn";
 
 #[derive(Subcommand)]
@@ -26,45 +26,46 @@
   sedgestack-kit capture merge n0.sedgecap n1.sedgecap n2.sedgecap --out day.sedgecap
   sedgestack-kit capture draw deploy/fleet-sample.hcl --scenario calm --out captures")]
 pub enum Command {
-    /// Says what a capture holds
+    /// Summarizes a capture
     Show {
-        /// The capture
+        /// The capture file
         file: PathBuf,
-        /// Also its first records
+        /// Number of records to print, from the first on
         #[arg(long, default_value_t = 0, value_name = "N")]
         records: usize,
     },
-    /// Says whether captures are whole; 1 where one is not
+    /// Checks whether captures are undamaged; exit status 1 if one is damaged
     Check {
-        /// The captures
+        /// The capture files
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Puts the captures of several limiters into one, by time
+    /// Merges the captures of several limiters into one, ordered by time
     Merge {
-        /// The captures
+        /// The capture files
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// The file to write; it must not be there yet
+        /// The file to write; it must not exist yet
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Draws what limiters would capture of a described load, through the model
+    /// Simulates a fleet file's load and writes the captures that limiters would record
     Draw {
         /// The fleet file
         fleet: PathBuf,
-        /// A scenario on top of its load: see `rehearse --list`
+        /// The scenario, which varies the fleet file's load; `rehearse --list` lists them
         #[arg(long, default_value = "described")]
         scenario: String,
+        /// Seed of all random choices
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The folder to write a capture for each limiter into
+        /// The folder to write the captures to, one for each limiter
         #[arg(long, value_name = "FOLDER")]
         out: PathBuf,
     },
 }
 
-/// Runs a command.
+/// Runs a subcommand.
 pub fn run(command: Command, format: Format) -> Result<Verdict, KitError> {
     match command {
         Command::Show { file, records } => show::run(&file, records, format),
@@ -74,7 +75,7 @@
     }
 }
 
-/// Whether a capture is whole, and a sentence on it.
+/// Whether a capture is undamaged, and a message that describes it.
 struct CheckResult {
     whole: bool,
     message: String,
@@ -88,7 +89,7 @@
                 message: format!("whole, {} records, {dropped} dropped", records.len()),
             },
             Ok(Capture { damage: Some(damage), records, .. }) => {
-                let message = format!("damaged {damage}; {} records stand before", records.len());
+                let message = format!("damaged {damage}; {} records before it are intact", records.len());
                 CheckResult { whole: false, message }
             }
             Err(error) => CheckResult { whole: false, message: error.to_string() },
--- a/crates/kit/src/captures/show.rs
+++ b/crates/kit/src/captures/show.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit capture show`: what a capture holds.
+//! `sedgestack-kit capture show`: summarizes a capture.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 use crate::error::KitError;
 use crate::output::{Format, Verdict};
 
-/// The outcomes in the order of the tables' columns, and the names of these.
+/// The outcomes in the order of the table's columns, with the column names.
 const OUTCOMES: [(Outcome, &str); 5] = [
     (Outcome::Served, "served"),
     (Outcome::Rejected, "refused"),
@@ -19,18 +19,19 @@
     (Outcome::Abandoned, "abandoned"),
 ];
 
-/// How many records of a class ended in one way.
+/// The number of a class's records with one outcome.
 struct OutcomeCount {
     name: &'static str,
     count: usize,
 }
 
-/// A class's records in figures.
+/// Statistics of a class's records.
 struct ClassSummary {
     class: String,
     records: usize,
-    /// Latency percentiles of what was served.
+    /// Median latency of served requests.
     p50_ms: f64,
+    /// 95th percentile of the latency of served requests.
     p95_ms: f64,
     outcomes: Vec<OutcomeCount>,
 }
@@ -73,7 +74,7 @@
     }
 }
 
-/// Prints what a capture holds, and its first records.
+/// Prints a summary of a capture and its first `shown_records` records.
 pub fn run(file: &Path, shown_records: usize, format: Format) -> Result<Verdict, KitError> {
     let capture = read_file(file)?;
     let names = capture.header.classes.iter().enumerate();
@@ -115,7 +116,7 @@
         println!("{}", record_table(capture, shown_records));
     }
     if let Some(damage) = &capture.damage {
-        println!("damaged {damage}; what stands before is shown");
+        println!("damaged {damage}; the records before it are shown");
     }
 }
 
@@ -150,7 +151,7 @@
     ]
 }
 
-/// The name of an outcome in the table of records: in one word.
+/// Returns the name of an outcome in the table of records, as a single word.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
@@ -161,13 +162,13 @@
     }
 }
 
-/// The latency at a part of the sorted ones; 0 where there are none.
+/// Returns a percentile of sorted latencies, with `part` from 0 to 1; 0 if there are no latencies.
 fn percentile_ms(sorted_us: &[u32], part: f64) -> f64 {
     let index = (sorted_us.len().saturating_sub(1) as f64 * part) as usize;
     sorted_us.get(index).map_or(0.0, |latency| f64::from(*latency) / 1e3)
 }
 
-/// From the first record to the last.
+/// Returns the time from the earliest record to the latest.
 fn span_seconds(records: &[Record]) -> f64 {
     let times = records.iter().map(|record| record.at);
     let (first, last) = times.fold((u64::MAX, 0), |(first, last), at| (first.min(at), last.max(at)));
--- a/crates/kit/src/error.rs
+++ b/crates/kit/src/error.rs
@@ -13,19 +13,19 @@
 use sedgestack_quota_lease::TermsError;
 use sedgestack_rehearse::{scenarios, Failure};
 
-/// Why a command could not do its work: bad input, or something it needs that is missing or does not answer.
+/// Why a command failed: its input is invalid, or something that it needs is missing or does not respond.
 #[derive(Debug, thiserror::Error)]
 pub enum KitError {
-    /// A fleet file, a timeline of faults or a runtime configuration has an error.
+    /// A fleet file, a timeline of faults or a runtime configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// A file is no capture.
+    /// A file can't be read as a capture.
     #[error(transparent)]
     Capture(#[from] ReadError),
-    /// Captures can't be merged, as they are not of one tier.
+    /// Captures can't be merged because they are not from the same tier.
     #[error("{0}")]
     Merge(String),
-    /// A capture does not fit the fleet file, or holds too little.
+    /// A capture does not match the fleet file, or holds too few records.
     #[error(transparent)]
     CapturedLoad(#[from] CaptureError),
     /// A rehearsal could not be held.
@@ -36,39 +36,39 @@
     File {
         /// The file or folder.
         path: PathBuf,
-        /// What the system says.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The current folder, from which relative paths count, can't be had.
+    /// The current folder, which relative paths start from, can't be determined.
     #[error(transparent)]
     CurrentFolder(io::Error),
-    /// The given parts of a quota can't be meant for a plan.
+    /// The lease terms given on the command line are invalid for a plan.
     #[error("plan {plan}: {source}")]
     Terms {
         /// The plan's name.
         plan: String,
-        /// What is wrong with the figures.
+        /// Which of the terms is invalid.
         source: TermsError,
     },
-    /// An answer can't be written as JSON.
-    #[error("the answer as JSON: {0}")]
+    /// A result can't be serialized as JSON.
+    #[error("cannot write the result as JSON: {0}")]
     Json(serde_json::Error),
     /// No scenario has this name.
-    #[error("no scenario '{0}'; there are {names}", names = scenario_names())]
+    #[error("no scenario '{0}'; the scenarios are {names}", names = scenario_names())]
     UnknownScenario(String),
-    /// The daemon is not where it is looked for.
-    #[error("no daemon: build it by `cargo build --release`, or name it by --daemon")]
+    /// There is no daemon in any of the expected places.
+    #[error("daemon not found: build it with `cargo build --release`, or give its path with --daemon")]
     NoDaemon,
-    /// Timelines of a campaign could not be played to their end.
+    /// Timelines of a campaign could not be played to the end.
     #[error("{count} timelines could not be played\n{list}", count = .0.len(), list = lines(.0))]
     TimelinesNotPlayed(Vec<SeedError>),
-    /// A running tier did not answer, or rejected a call.
+    /// A running tier did not respond, or rejected a call.
     #[error(transparent)]
     Tier(#[from] TierError),
 }
 
 impl KitError {
-    /// Makes an I/O error into one that names its file.
+    /// Returns a function that adds the file's path to an I/O error.
     pub fn file(path: &Path) -> impl Fn(io::Error) -> KitError + '_ {
         move |source| KitError::File { path: path.to_path_buf(), source }
     }
@@ -80,76 +80,76 @@
 pub struct SeedError {
     /// The seed of the timeline.
     pub seed: u64,
-    /// What failed.
+    /// Why it could not be played.
     pub source: Failure,
 }
 
 /// Why a running tier could not be read or changed.
 #[derive(Debug, thiserror::Error)]
 pub enum TierError {
-    /// The call failed on its way.
+    /// The connection, the request or the response failed.
     #[error("{address}: {source}")]
     Transport {
-        /// The limiter's address for operators.
+        /// The limiter's operations address.
         address: SocketAddr,
-        /// What failed; boxed, as it is far larger than the other variants.
+        /// The HTTP client's error, boxed because it is far larger than the other variants.
         source: Box<ureq::Error>,
     },
-    /// The limiter answered with another status than 200.
+    /// The limiter responded with a status other than 200.
     #[error("{address}: {status} {message}")]
     Status {
-        /// The limiter's address for operators.
+        /// The limiter's operations address.
         address: SocketAddr,
         /// The HTTP status.
         status: u16,
-        /// The body of the answer.
+        /// The body of the response.
         message: String,
     },
-    /// The limiter's answer is not JSON.
-    #[error("{address}: not JSON: {source}")]
+    /// The limiter's response is not JSON.
+    #[error("{address}: the response is not JSON: {source}")]
     NotJson {
-        /// The limiter's address for operators.
+        /// The limiter's operations address.
         address: SocketAddr,
-        /// Where the answer stops being JSON.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// No limiter answered: the error of each.
+    /// No limiter responded; holds the error of each.
     #[error("{}", lines(.0))]
     NoneAnswered(Vec<TierError>),
-    /// Not every limiter waits to be adopted.
-    #[error("adopt is for tiers in which every limiter waits; nothing was done\n{}", lines(.0))]
+    /// Not every limiter waits for adoption.
+    #[error("adopt requires that every limiter waits for adoption; nothing was changed\n{}", lines(.0))]
     NotAdoptable(Vec<AdoptObstacle>),
 }
 
-/// Why a limiter stands in the way of an adoption.
+/// Why a limiter prevents an adoption.
 #[derive(Debug, thiserror::Error)]
 pub enum AdoptObstacle {
-    /// It does not answer.
+    /// The limiter does not respond.
     #[error(transparent)]
     Unreachable(TierError),
-    /// It still has its votes.
-    #[error("{address}: knows its votes, version {version}")]
-    KnowsVotes {
-        /// The limiter's address for operators.
+    /// The limiter still has its votes.
+    #[error("{address}: still has its votes, version {version}")]
+    HasVotes {
+        /// The limiter's operations address.
         address: SocketAddr,
-        /// Its active version, as it answered.
+        /// The limiter's active version, from its response.
         version: Value,
     },
-    /// The tier has another number of limiters than were named.
-    #[error("{address}: the tier has {members} limiters, {named} are named")]
-    OtherCount {
-        /// The limiter's address for operators.
+    /// The number of addresses given differs from the number of limiters in the tier.
+    #[error("{address}: the tier has {members} limiters, but {named} were named")]
+    WrongCount {
+        /// The limiter's operations address.
         address: SocketAddr,
-        /// The tier's limiters, as it answered.
+        /// The number of limiters in the tier, from the response.
         members: Value,
-        /// The limiters that were named.
+        /// The number of limiters named on the command line.
         named: usize,
     },
 }
 
-/// A limiter's number that can't be read from the command line.
+/// An argument that is not a limiter's number.
 #[derive(Debug, thiserror::Error)]
-#[error("{0}: expected a limiter's number, as 7 or n7")]
+#[error("{0}: expected a limiter's number, such as 7 or n7")]
 pub struct LimiterNumberError(pub String);
 
 fn scenario_names() -> String {
--- a/crates/kit/src/main.rs
+++ b/crates/kit/src/main.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit`: captures, capacity plans and rehearsals from the command line.
+//! `sedgestack-kit`: a command-line tool for captures, capacity plans, rehearsals and runtime configuration.
 
 mod bounds;
 mod campaign;
@@ -35,11 +35,11 @@
   sedgestack-kit campaign deploy/fleet-sample.hcl --limiters 5 --seeds 20
   sedgestack-kit completions bash
 
-Exit status: 0 done; 1 the answer is no (no count meets the aims, a prediction was missed, a file is damaged);
-2 bad input or arguments; 3 void: this machine was too busy for a rehearsal to mean anything."
+Exit status: 0 success; 1 negative result (no number of workers meets the aims, a prediction is off, a file is
+damaged); 2 bad input or arguments; 3 void: the machine was too busy for the rehearsal to be meaningful."
 )]
 struct Cli {
-    /// Output for people or for machines
+    /// Output format
     #[arg(long, global = true, value_enum, default_value = "table")]
     format: Format,
     #[command(subcommand)]
@@ -48,21 +48,21 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Says how far over a quota leases can let all limiters together go, and why
+    /// Computes how far all limiters together can exceed a quota under leases, and why
     Bound(bounds::Arguments),
-    /// Shows, checks, merges and draws captures
+    /// Shows, checks, merges and generates captures
     #[command(subcommand)]
     Capture(captures::Command),
-    /// Versions of what may change in service: checked, compared, and made at a running tier
+    /// Checks and compares versions of the runtime configuration, and changes it on a running tier
     #[command(subcommand)]
     Config(versions::Command),
-    /// Says how many workers keep the aims, what breaks first and what losses cost
+    /// Computes how many workers meet the aims, what fails first and what losses cost
     Plan(plan::Arguments),
-    /// Plays a load through real daemons between stand-ins on loopback
+    /// Plays a load through real daemons, with stand-ins for all other services on loopback
     Rehearse(rehearse::Arguments),
-    /// Holds predictions against rehearsals, scenario by scenario
+    /// Compares the model's predictions with rehearsals, scenario by scenario
     Prove(prove::Arguments),
-    /// Plays drawn timelines of faults on tiers of real limiters, and judges what was recorded
+    /// Plays random timelines of faults on tiers of real limiters, and checks what was recorded
     Campaign(campaign::Arguments),
     /// Prints completions for a shell
     Completions {
--- a/crates/kit/src/output.rs
+++ b/crates/kit/src/output.rs
@@ -1,4 +1,4 @@
-//! What commands share on the way out: formats, verdicts, progress.
+//! Output that commands share: formats, exit status and progress bars.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -6,32 +6,32 @@
 use clap::ValueEnum;
 use indicatif::{ProgressBar, ProgressStyle};
 
-/// Steps of a progress bar.
+/// Number of steps in a progress bar.
 const BAR_STEPS: u64 = 1_000;
-/// How often a progress bar is drawn again while nothing moves.
+/// How often a progress bar is redrawn while there is no progress.
 const BAR_TICK: Duration = Duration::from_millis(200);
 
-/// How an answer is written.
-// The variants bear no doc comments: clap would print them as help.
+/// The format in which a command prints its result.
+// The variants have no doc comments because clap would print them as help.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
     Table,
     Json,
 }
 
-/// How a command ended that had good input.
+/// The result of a command whose input was valid; determines the exit status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It did what it was to do.
+    /// The command did its work, and any check passed: exit status 0.
     Done,
-    /// The answer is no.
+    /// The result is negative, such as a failed check: exit status 1.
     No,
-    /// The machine was too busy for the answer to mean anything.
+    /// The machine was too busy for the result to be meaningful: exit status 3.
     Void,
 }
 
 impl Verdict {
-    /// `Done` where `holds`, else `No`.
+    /// Returns `Done` if `holds`, else `No`.
     pub fn from_bool(holds: bool) -> Verdict {
         if holds {
             Verdict::Done
@@ -51,7 +51,7 @@
     }
 }
 
-/// A progress bar on standard error, drawn only on a terminal.
+/// Creates a progress bar on standard error, which is drawn only on a terminal.
 pub fn progress_bar() -> ProgressBar {
     let bar = ProgressBar::new(BAR_STEPS);
     let style = ProgressStyle::with_template("{bar:30} {percent:>3}% {elapsed:>4} {msg}");
@@ -60,7 +60,7 @@
     bar
 }
 
-/// Moves a progress bar to a part of its whole, 0 to 1.
+/// Sets a progress bar to `part`, from 0 (nothing done) to 1 (all done).
 pub fn set_progress(bar: &ProgressBar, part: f64) {
     bar.set_position((part * BAR_STEPS as f64) as u64);
 }
--- a/crates/kit/src/plan.rs
+++ b/crates/kit/src/plan.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit plan`.
+//! `sedgestack-kit plan`: computes a capacity plan.
 
 use std::path::PathBuf;
 
@@ -17,28 +17,28 @@
   sedgestack-kit plan fleet.hcl --capture n0.sedgecap --capture n1.sedgecap --capture n2.sedgecap
   sedgestack-kit plan fleet.hcl --capture day.sedgecap --format json
 
-Without --capture the load is the one that the fleet file describes. Exit status: 0 a count in range keeps the
-aims, 1 none does, 2 bad input.")]
+Without --capture, the load is the one that the fleet file describes. Exit status: 0 a number of workers within the
+fleet file's range meets the aims, 1 none does, 2 bad input.")]
 pub struct Arguments {
     /// The fleet file
     fleet: PathBuf,
-    /// A capture; once for each limiter, or once for a merged one
+    /// A capture to take the load from; repeat it for each limiter, or give one merged capture
     #[arg(long, value_name = "FILE")]
     capture: Vec<PathBuf>,
-    /// Runs behind every figure; the fleet file's aims.seeds without
+    /// Number of simulation runs behind each figure; defaults to aims.seeds of the fleet file
     #[arg(long, value_parser = clap::value_parser!(u32).range(2..=1000))]
     seeds: Option<u32>,
-    /// Also a page with plots, to this file
+    /// Also writes an HTML page with plots to this file
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
 }
 
-/// Makes a capacity plan and prints it.
+/// Computes a capacity plan and prints it.
 pub fn run(arguments: &Arguments, format: Format) -> Result<Verdict, KitError> {
     let fleet = read_fleet(&arguments.fleet)?;
     let bar = progress_bar();
     if !arguments.capture.is_empty() {
-        bar.set_message("reading and fitting the capture");
+        bar.set_message("reading and fitting captures");
     }
     let source = load_source(&fleet, &arguments.capture)?;
     let seeds = arguments.seeds.unwrap_or(fleet.objectives.seeds);
--- a/crates/kit/src/prove.rs
+++ b/crates/kit/src/prove.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit prove`: the model's predictions held against rehearsals.
+//! `sedgestack-kit prove`: compares the model's predictions with rehearsals.
 
 use std::path::PathBuf;
 
@@ -17,22 +17,23 @@
 use crate::output::{Format, Verdict};
 use crate::rehearse::{hold_rehearsal, Options};
 
-/// A prediction further from the rehearsal than this part of it is a miss.
-const WITHIN: f64 = 0.1;
-/// Runs of the model behind a prediction: same demand, other draws of all the rest.
-const PREDICTED_BY: u64 = 8;
+/// Maximum relative error of a prediction; a larger one counts as missed.
+const MAX_RELATIVE_ERROR: f64 = 0.1;
+/// Number of model runs behind a prediction, with the same demand and different seeds.
+const MODEL_RUNS: u64 = 8;
 
 #[derive(Args)]
 #[command(after_help = "Examples:
   sedgestack-kit prove deploy/fleet-sample.hcl
   sedgestack-kit prove deploy/fleet-sample.hcl --only calm --only room-lost --seconds 30
 
-Each scenario is predicted by the model and rehearsed with the same demand, one after another. Exit status: 0 all
-predictions lie within 10% of the rehearsal's worth in time, 1 one does not, 2 bad input, 3 a rehearsal was void.")]
+Each scenario is predicted by the model and rehearsed with the same demand, one scenario after another. Exit status:
+0 all predictions of the value served in time lie within 10% of the rehearsal, 1 one does not, 2 bad input, 3 a
+rehearsal was void.")]
 pub struct Arguments {
     /// The fleet file
     fleet: PathBuf,
-    /// Only this scenario; may be given more than once
+    /// Runs only this scenario; may be repeated
     #[arg(long, value_name = "SCENARIO")]
     only: Vec<String>,
     #[command(flatten)]
@@ -42,9 +43,11 @@
 /// How a prediction compares with its rehearsal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Comparison {
-    /// The machine was too busy for the rehearsal to mean anything.
+    /// The machine was too busy for the rehearsal to be meaningful.
     Void,
+    /// The prediction's error is within the maximum.
     Within,
+    /// The prediction's error exceeds the maximum.
     Missed,
 }
 
@@ -58,7 +61,7 @@
     }
 }
 
-/// A scenario predicted and rehearsed.
+/// A scenario with its prediction and its rehearsal.
 struct Proof<'a> {
     scenario: &'a Scenario,
     predicted: Interval,
@@ -70,13 +73,13 @@
         self.rehearsed.score.overall.share()
     }
 
-    /// How far the prediction lies above the rehearsal, as a part of it.
+    /// Returns the prediction's relative error; positive if the prediction is too high.
     fn relative_error(&self) -> f64 {
         self.predicted.mean / self.rehearsed_share() - 1.0
     }
 
     fn comparison(&self) -> Comparison {
-        match (self.rehearsed.is_void(), self.relative_error().abs() <= WITHIN) {
+        match (self.rehearsed.is_void(), self.relative_error().abs() <= MAX_RELATIVE_ERROR) {
             (true, _) => Comparison::Void,
             (false, true) => Comparison::Within,
             (false, false) => Comparison::Missed,
@@ -107,11 +110,11 @@
     }
 }
 
-/// Predicts and rehearses, scenario by scenario.
+/// Predicts and rehearses one scenario after another.
 pub fn run(arguments: &Arguments, format: Format) -> Result<Verdict, KitError> {
     let fleet = arguments.options.fleet(&arguments.fleet)?;
     let scenarios: Vec<Scenario> =
-        names(arguments).iter().map(|name| scenario(&fleet, name)).collect::<Result<_, _>>()?;
+        scenario_names(arguments).iter().map(|name| scenario(&fleet, name)).collect::<Result<_, _>>()?;
     let mut proofs = Vec::new();
     for scenario in &scenarios {
         let proof = prove(scenario, &arguments.options)?;
@@ -126,8 +129,8 @@
     Ok(verdict(&proofs))
 }
 
-/// The scenarios to prove: those that were named, else all.
-fn names(arguments: &Arguments) -> Vec<String> {
+/// Returns the names of the scenarios given by `--only`, or of all scenarios without it.
+fn scenario_names(arguments: &Arguments) -> Vec<String> {
     if arguments.only.is_empty() {
         scenarios::ALL.iter().map(|(name, _)| name.to_string()).collect()
     } else {
@@ -142,7 +145,7 @@
     Ok(Proof { scenario, predicted, rehearsed })
 }
 
-/// What the model says of a scenario's demand: the share of worth answered in time.
+/// Predicts the share of a scenario's value that is served in time.
 fn predict(scenario: &Scenario, demand: &Demand, seed: u64) -> Interval {
     let share = |run: u64| {
         let model_scenario = sedgestack_model::Scenario {
@@ -154,12 +157,13 @@
         };
         simulate(&model_scenario, seed + run).score.overall.share()
     };
-    Interval::of(&(0..PREDICTED_BY).map(share).collect::<Vec<_>>())
+    Interval::of(&(0..MODEL_RUNS).map(share).collect::<Vec<_>>())
 }
 
 fn print_table(first_class: &str, proofs: &[Proof<'_>]) {
     let first = format!("{first_class} in time");
-    let head = ["scenario", "predicted", "rehearsed", "off", first.as_str(), "fallen", "late ms", "verdict"];
+    let head =
+        ["scenario", "predicted", "rehearsed", "error", first.as_str(), "crashed", "lateness ms", "verdict"];
     println!("{}", table(&head, proofs.iter().map(Proof::row).collect()));
 }
 
--- a/crates/kit/src/rehearse.rs
+++ b/crates/kit/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit rehearse`: a load played through real daemons.
+//! `sedgestack-kit rehearse`: plays a load through real daemons.
 
 use std::path::{Path, PathBuf};
 
@@ -27,49 +27,50 @@
   sedgestack-kit rehearse --list deploy/fleet-sample.hcl
   sedgestack-kit rehearse deploy/fleet-sample.hcl --faults deploy/rehearsals/one-down.hcl --limiters 5 --seed 3
 
-Needs the daemon, built by `cargo build --release`: beside this program, or named by --daemon. All sockets are
-on loopback. Exit status: 0 held, 2 bad input or no daemon, 3 void: the machine was too busy to play the load.")]
+Needs the daemon, built by `cargo build --release`: in the folder of this program, or given by --daemon. All sockets
+are on loopback. Exit status: 0 the rehearsal is valid and any timeline of faults passed, 1 the timeline failed, 2 bad
+input or no daemon, 3 void: the machine was too busy to play the load.")]
 pub struct Arguments {
     /// The fleet file
     fleet: PathBuf,
-    /// What happens: see --list
+    /// The scenario to rehearse; see --list
     #[arg(long, default_value = "described")]
     scenario: String,
-    /// Lists the scenarios and does nothing
+    /// Lists the scenarios and exits
     #[arg(long)]
     list: bool,
     #[command(flatten)]
     options: Options,
-    /// Where daemons leave captures
+    /// Folder that daemons write captures to
     #[arg(long, value_name = "FOLDER")]
     captures: Option<PathBuf>,
-    /// Plays a timeline of faults between limiters that agree on versions of the rules, in place of a scenario
+    /// Plays a timeline of faults on a tier that agrees on runtime configurations, in place of a scenario
     #[arg(long, value_name = "FILE", conflicts_with_all = ["scenario", "captures", "list"])]
     faults: Option<PathBuf>,
-    /// Limiters that --faults starts
+    /// Number of limiters that --faults starts
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(2..=9))]
     limiters: u32,
 }
 
-/// What rehearsals and proofs share.
+/// Options that `rehearse` and `prove` share.
 #[derive(Args)]
 pub struct Options {
-    /// Feeds all that is drawn
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Workers in place of the fleet file's, spread evenly over its rooms
+    /// Number of workers, spread evenly over the rooms, in place of the fleet file's
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u32).range(1..))]
     workers: Option<u32>,
-    /// Length in seconds in place of the fleet file's
+    /// Length in seconds, in place of the fleet file's
     #[arg(long, value_name = "SECONDS", value_parser = clap::value_parser!(u64).range(5..=3600))]
     seconds: Option<u64>,
-    /// The daemon; the `sedgestack` beside this program, or in target/release, without
+    /// Path of the daemon; defaults to `sedgestack` in this program's folder, else in target/release
     #[arg(long, value_name = "FILE")]
     daemon: Option<PathBuf>,
 }
 
 impl Options {
-    /// The fleet of a file, with the workers and the length given on the command line.
+    /// Reads a fleet file and applies the number of workers and the length given on the command line.
     pub fn fleet(&self, path: &Path) -> Result<Fleet, KitError> {
         let mut fleet = read_fleet(path)?;
         if let Some(workers) = self.workers {
@@ -116,7 +117,7 @@
     let fleet = options.fleet(&arguments.fleet)?;
     let scenario = scenario(&fleet, &arguments.scenario)?;
     let demand = demand::draw(&scenario.fleet, options.seed);
-    // Daemons are started in another folder, so a relative path would mean another place there.
+    // Daemons run in a different working folder, so they need an absolute path.
     let captures = arguments.captures.as_ref().map(std::path::absolute).transpose();
     let captures = captures.map_err(KitError::CurrentFolder)?;
     let rehearsed = hold_rehearsal(&scenario, &demand, options, captures)?;
@@ -127,7 +128,7 @@
     Ok(if rehearsed.is_void() { Verdict::Void } else { Verdict::Done })
 }
 
-/// Holds a rehearsal of a scenario; daemons leave their captures in the folder `captures`.
+/// Rehearses a scenario. Daemons write their captures to the folder `captures`, if it is given.
 pub fn hold_rehearsal(
     scenario: &Scenario,
     demand: &Demand,
@@ -181,7 +182,8 @@
 fn print_totals(rehearsed: &Rehearsed) {
     let score = &rehearsed.score;
     println!(
-        "  service {:.1}% (worst 10 s {:.1}%), {} first tries, {} retries; served {}, refused {}, failed {}, gave up {}",
+        "  service {:.1}% (worst 10 s {:.1}%), {} first tries, {} retries; served {}, rejected {}, failed {}, \
+         abandoned {}",
         100.0 * score.overall.share(),
         100.0 * score.worst_window,
         rehearsed.first_tries,
@@ -192,7 +194,8 @@
         rehearsed.gave_up
     );
     println!(
-        "  units sent on beyond quotas {:.1}%, cold workers pushed over {}, player late by {:.1} ms at p99{}",
+        "  units forwarded beyond quotas {:.1}%, workers crashed while warming up {}, load player late by {:.1} ms \
+         at p99{}",
         100.0 * score.units_beyond / (score.units_beyond + score.units_inside).max(1.0),
         rehearsed.fallen,
         rehearsed.lateness_ms,
@@ -215,7 +218,7 @@
             ms(99.0),
         ]
     };
-    let head = ["class", "worth in time", "let through, in time", "worst 10 s", "p50 ms", "p95", "p99"];
+    let head = ["class", "value in time", "admitted, in time", "worst 10 s", "p50 ms", "p95", "p99"];
     table(&head, fleet.classes.iter().enumerate().map(row).collect())
 }
 
@@ -229,5 +232,5 @@
             format!("{:.1}", daemon.peak_mb),
         ]
     });
-    table(&["limiter", "taken", "CPU s", "CPU us a request", "peak MB"], rows.collect())
+    table(&["limiter", "accepted", "CPU s", "CPU us per request", "peak MB"], rows.collect())
 }
--- a/crates/kit/src/tier.rs
+++ b/crates/kit/src/tier.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit config stage|commit|undo|status|history|adopt`: a running tier through its operators' addresses.
+//! The subcommands of `sedgestack-kit config` that call the limiters of a running tier at their operations addresses.
 
 mod adopt;
 mod change;
@@ -16,22 +16,22 @@
 pub use change::{begin, commit, stage, Commit};
 pub use status::{history, status};
 
-/// The limiters of a tier that are called.
+/// The limiters of a tier to call.
 #[derive(Args)]
-pub struct At {
-    /// Operators' addresses of limiters, as 10.0.0.4:9901; the first that answers is the one that is told
+pub struct TierAddresses {
+    /// Operations addresses of limiters, such as 10.0.0.4:9901; changes go to the first that responds
     #[arg(long, value_name = "ADDRESS", num_args = 1.., required = true)]
     at: Vec<SocketAddr>,
 }
 
-/// What one limiter says of its runtime configuration.
+/// A limiter's response to a request for the state of its runtime configuration.
 struct LimiterAnswer {
     address: SocketAddr,
     result: Result<Value, TierError>,
 }
 
-impl At {
-    /// Asks all limiters, one after another.
+impl TierAddresses {
+    /// Requests the state from all limiters, one after another.
     fn ask_all(&self) -> Vec<LimiterAnswer> {
         let ask = |address: &SocketAddr| LimiterAnswer {
             address: *address,
@@ -40,7 +40,7 @@
         self.at.iter().map(ask).collect()
     }
 
-    /// The first limiter that answers.
+    /// Returns the address of the first limiter that responds.
     fn first_answering(&self) -> Result<SocketAddr, TierError> {
         let answers = self.ask_all();
         let found = answers.iter().find(|answer| answer.result.is_ok()).map(|answer| answer.address);
@@ -50,7 +50,7 @@
     }
 }
 
-/// A JSON value as people read it: strings without quotes.
+/// Formats a JSON value for people: strings without quotes.
 fn plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), String::from)
 }
--- a/crates/kit/src/tier/adopt.rs
+++ b/crates/kit/src/tier/adopt.rs
@@ -1,16 +1,17 @@
-//! `sedgestack-kit config adopt`.
+//! `sedgestack-kit config adopt`: starts a tier whose limiters have all lost their votes.
 
 use serde_json::json;
 
-use super::{client, At, LimiterAnswer};
+use super::{client, LimiterAnswer, TierAddresses};
 use crate::error::{AdoptObstacle, KitError, TierError};
 use crate::output::{Format, Verdict};
 
-/// The HTTP status of a limiter that does not wait to be adopted any more.
+/// The HTTP status of a limiter that no longer waits for adoption.
 const CONFLICT: u16 = 409;
 
-/// Lets limiters that have all forgotten go on from what is left: a new tier, or one whose stores are lost.
-pub fn adopt(at: &At, format: Format) -> Result<Verdict, KitError> {
+/// Lets limiters that have all lost their votes continue from the state that is left: a new tier, or one whose stores
+/// are lost.
+pub fn adopt(at: &TierAddresses, format: Format) -> Result<Verdict, KitError> {
     let answers = at.ask_all();
     let named = answers.len();
     let addresses: Vec<_> = answers.iter().map(|answer| answer.address).collect();
@@ -20,19 +21,19 @@
     }
     for address in addresses {
         match client::put(address, "rules/adopt", "") {
-            // It heard from a majority that was adopted before it, so it waits no longer.
+            // A limiter stops waiting as soon as it hears from a majority that was adopted before it.
             Ok(_) | Err(TierError::Status { status: CONFLICT, .. }) => {}
             Err(error) => return Err(error.into()),
         }
     }
     match format {
         Format::Json => println!("{}", json!({"adopted": named})),
-        Format::Table => println!("{named} limiters go on from what is left"),
+        Format::Table => println!("{named} limiters adopted; they continue from the state that is left"),
     }
     Ok(Verdict::Done)
 }
 
-/// Why a limiter can't be adopted, if it can't.
+/// Returns why a limiter can't be adopted; `None` if it can.
 fn obstacle(answer: LimiterAnswer, named: usize) -> Option<AdoptObstacle> {
     let address = answer.address;
     let state = match answer.result {
@@ -40,10 +41,10 @@
         Err(error) => return Some(AdoptObstacle::Unreachable(error)),
     };
     if state["waits_for_adopt"] != true {
-        return Some(AdoptObstacle::KnowsVotes { address, version: state["version"].clone() });
+        return Some(AdoptObstacle::HasVotes { address, version: state["version"].clone() });
     }
     if state["members"].as_u64() != Some(named as u64) {
-        return Some(AdoptObstacle::OtherCount { address, members: state["members"].clone(), named });
+        return Some(AdoptObstacle::WrongCount { address, members: state["members"].clone(), named });
     }
     None
 }
--- a/crates/kit/src/tier/change.rs
+++ b/crates/kit/src/tier/change.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit config stage|commit|undo|hold|pin`: a change of the runtime configuration, and what becomes of it.
+//! `sedgestack-kit config stage|commit|undo|hold|pin`: changes the runtime configuration and reports the outcome.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,41 +7,42 @@
 use clap::{Args, ValueEnum};
 use serde_json::{json, Value};
 
-use super::{client, plain_text, At};
+use super::{client, plain_text, TierAddresses};
 use crate::error::{KitError, LimiterNumberError, TierError};
 use crate::output::{Format, Verdict};
 
-/// Between two looks at how a change goes.
+/// Interval between requests for the state of a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// A vote ends within its lead and some rounds: it is waited for so many leads, and so much longer.
+/// The longest wait for a change's outcome, in leads; `EXTRA_WAIT` is added. A vote takes the lead and some rounds.
 const LEADS_WAITED: u32 = 3;
-const WAITED_BEYOND_LEADS: Duration = Duration::from_secs(30);
+/// Added to the longest wait for a change's outcome, to cover the vote's rounds.
+const EXTRA_WAIT: Duration = Duration::from_secs(30);
 
-/// Who must answer a change.
+/// Which limiters must vote for a change.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Scope {
-    /// More than half of all limiters; the others don't serve until they know of it
+    /// More than half of all limiters; the others stop serving until they have learned of the change
     Majority,
-    /// All limiters but those left out: one that does not answer within the lead voids the change
+    /// All limiters except those given by --except; the change is void if one does not answer within the lead
     All,
 }
 
 #[derive(Args)]
 pub struct Commit {
-    /// The document to make the next version
+    /// The document that becomes the next version
     file: PathBuf,
     #[command(flatten)]
-    at: At,
-    /// Who must answer
+    at: TierAddresses,
+    /// Which limiters must answer
     #[arg(long, value_enum, default_value = "majority")]
     scope: Scope,
-    /// A limiter that is known to be gone, by its number, as 7 or n7
+    /// Number of a limiter that is known to be down, such as 7 or n7; may be repeated
     #[arg(long, value_name = "LIMITER", value_parser = limiter_number)]
     except: Vec<u32>,
-    /// Also where the version in force is pinned
+    /// Makes the change even if the active version is pinned
     #[arg(long)]
     force: bool,
-    /// Says that the change is begun and does not wait for what becomes of it
+    /// Exits once the change has begun, without waiting for its outcome
     #[arg(long)]
     begin_only: bool,
 }
@@ -51,28 +52,28 @@
     digits.parse().map_err(|_| LimiterNumberError(text.to_string()))
 }
 
-/// A document that a limiter has checked and holds ready.
+/// A document that a limiter has checked and stored, ready to commit.
 struct Staged {
     address: SocketAddr,
     answer: Value,
 }
 
-fn stage_document(file: &Path, at: &At) -> Result<Staged, KitError> {
+fn stage_document(file: &Path, at: &TierAddresses) -> Result<Staged, KitError> {
     let text = std::fs::read_to_string(file).map_err(KitError::file(file))?;
     let address = at.first_answering()?;
     let answer = client::put(address, "rules/stage", &text).map_err(|error| name_file(error, file))?;
     Ok(Staged { address, answer })
 }
 
-/// Limiters call what they are sent `document`: errors name the file in its place.
+/// Replaces the name `document`, by which limiters report errors in what they are sent, by the file's path.
 fn name_file(error: TierError, file: &Path) -> TierError {
     let TierError::Status { address, status, message } = error else { return error };
     let named = format!(" {message}").replace(" document:", &format!(" {}:", file.display()));
     TierError::Status { address, status, message: named[1..].to_string() }
 }
 
-/// Checks a document against the active one, at a limiter.
-pub fn stage(file: &Path, at: &At, format: Format) -> Result<Verdict, KitError> {
+/// Has a limiter check a document against its active one, and prints the differences.
+pub fn stage(file: &Path, at: &TierAddresses, format: Format) -> Result<Verdict, KitError> {
     let Staged { address, answer } = stage_document(file, at)?;
     if format == Format::Json {
         println!("{answer}");
@@ -85,7 +86,7 @@
     Ok(Verdict::Done)
 }
 
-/// Stages a document, begins the change, and waits for what becomes of it.
+/// Stages a document, begins the change, and waits for its outcome.
 pub fn commit(arguments: &Commit, format: Format) -> Result<Verdict, KitError> {
     let Staged { address, answer } = stage_document(&arguments.file, &arguments.at)?;
     let mut path = format!("rules/commit?digest={}", plain_text(&answer["digest"]));
@@ -103,15 +104,15 @@
     begun.wait()
 }
 
-/// Begins a change that needs no document (undo, hold, pin), and waits for what becomes of it.
-pub fn begin(at: &At, change: &str, format: Format) -> Result<Verdict, KitError> {
+/// Begins a change that needs no document (undo, hold, pin), and waits for its outcome.
+pub fn begin(at: &TierAddresses, change: &str, format: Format) -> Result<Verdict, KitError> {
     BegunChange::begin(at.first_answering()?, &format!("rules/{change}"), format)?.wait()
 }
 
 /// A change that was begun at a limiter.
 struct BegunChange {
     address: SocketAddr,
-    /// The limiter's answer when it was begun.
+    /// The limiter's response to the call that began the change.
     answer: Value,
     format: Format,
 }
@@ -121,9 +122,9 @@
         Ok(BegunChange { address, answer: client::put(address, path, "")?, format })
     }
 
-    /// Waits until the change is made or void; one that hangs is reported as it stands.
+    /// Waits until the change is active or void, and prints the outcome. After a timeout, prints that it is still open.
     fn wait(&self) -> Result<Verdict, KitError> {
-        let deadline = Instant::now() + LEADS_WAITED * self.lead() + WAITED_BEYOND_LEADS;
+        let deadline = Instant::now() + LEADS_WAITED * self.lead() + EXTRA_WAIT;
         while Instant::now() < deadline {
             let state = client::get(self.address, client::RULES)?;
             if let Some(verdict) = self.check(&state) {
@@ -134,14 +135,14 @@
         Ok(self.finish(Verdict::No, "not ended yet: see config status", &json!([])))
     }
 
-    /// How long it is until the change is to be active.
+    /// Returns the time until the change is due to become active.
     fn lead(&self) -> Duration {
         let active_at_us = self.answer["at_us"].as_u64().unwrap_or(0);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Duration::from_micros(active_at_us.saturating_sub(now.as_micros() as u64))
     }
 
-    /// Prints the outcome if the limiter's state shows one.
+    /// Prints the change's outcome if the limiter's state shows it; returns `None` otherwise.
     fn check(&self, state: &Value) -> Option<Verdict> {
         let own = &state["begun_here"];
         let none = json!([]);
--- a/crates/kit/src/tier/client.rs
+++ b/crates/kit/src/tier/client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to a limiter's address for operators.
+//! HTTP calls to a limiter's operations address.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,18 +9,18 @@
 
 use crate::error::TierError;
 
-/// The path, under `/admin`, of the runtime configuration and its state.
+/// The path of the state of the runtime configuration, under `/admin`.
 pub const RULES: &str = "rules";
-/// The longest that a call may take; limiters answer within 0.8 s.
+/// Maximum duration of a call. Limiters respond within 0.8 s.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 const OK: u16 = 200;
 
-/// Reads what a limiter says under `/admin/{path}`.
+/// Sends a GET request for `/admin/{path}` to a limiter and parses the response.
 pub fn get(address: SocketAddr, path: &str) -> Result<Value, TierError> {
     decode(address, agent().get(url(address, path)).call())
 }
 
-/// Sends a body to `/admin/{path}` of a limiter and reads its answer.
+/// Sends a PUT request for `/admin/{path}` to a limiter and parses the response.
 pub fn put(address: SocketAddr, path: &str, body: &str) -> Result<Value, TierError> {
     decode(address, agent().put(url(address, path)).send(body))
 }
--- a/crates/kit/src/tier/status.rs
+++ b/crates/kit/src/tier/status.rs
@@ -1,15 +1,16 @@
-//! `sedgestack-kit config status|history`: what limiters serve under, and what was decided.
+//! `sedgestack-kit config status|history`: prints the active version of each limiter, and the versions decided.
 
 use serde_json::{json, Value};
 
 use sedgestack_report::text::{table, Table};
 
-use super::{client, plain_text, At, LimiterAnswer};
+use super::{client, plain_text, LimiterAnswer, TierAddresses};
 use crate::error::KitError;
 use crate::output::{Format, Verdict};
 
-/// Prints each limiter's version, standing, and what is pending; no where they differ or one does not answer.
-pub fn status(at: &At, format: Format) -> Result<Verdict, KitError> {
+/// Prints each limiter's version, standing and pending change. The verdict is `No` if versions differ, or if a limiter
+/// is not current or does not respond.
+pub fn status(at: &TierAddresses, format: Format) -> Result<Verdict, KitError> {
     let answers = at.ask_all();
     let states: Vec<&Value> = answers.iter().filter_map(|answer| answer.result.as_ref().ok()).collect();
     let key = |state: &Value| (state["version"].to_string(), state["digest"].to_string());
@@ -43,7 +44,7 @@
     table(&head, rows.collect())
 }
 
-/// The cells of one limiter; those of one that does not answer end with its error.
+/// Returns the cells of one limiter's row; the last is the error if the limiter did not respond.
 fn status_row(answer: &LimiterAnswer) -> Vec<String> {
     let address = answer.address.to_string();
     match &answer.result {
@@ -61,7 +62,7 @@
     }
 }
 
-/// What a limiter waits for.
+/// Describes what a limiter waits for; empty if it waits for nothing.
 fn pending(state: &Value) -> String {
     let begun_here = &state["begun_here"];
     if let Some(version) = state["next"]["version"].as_u64() {
@@ -75,7 +76,7 @@
     }
 }
 
-/// How the canary analysis of the active version stands at a limiter that takes part in it.
+/// Describes the state of canary analysis at a limiter, and whether the active version is pinned.
 fn canary(watch: &Value, pinned: bool) -> String {
     let version = &watch["version"];
     let state = match (plain_text(&watch["state"]).as_str(), watch["judges"] == true) {
@@ -92,8 +93,8 @@
     [pin, &state].into_iter().filter(|part| !part.is_empty()).collect::<Vec<_>>().join(", ")
 }
 
-/// Prints what was decided, the latest last, as the first limiter that answers has it.
-pub fn history(at: &At, format: Format) -> Result<Verdict, KitError> {
+/// Prints the versions decided, the latest last, from the history of the first limiter that responds.
+pub fn history(at: &TierAddresses, format: Format) -> Result<Verdict, KitError> {
     let state = client::get(at.first_answering()?, client::RULES)?;
     if format == Format::Json {
         println!("{}", state["history"]);
--- a/crates/kit/src/timeline.rs
+++ b/crates/kit/src/timeline.rs
@@ -1,5 +1,5 @@
-//! `sedgestack-kit rehearse --faults`: one timeline of faults on a tier of real limiters; and the summary of a
-//! played timeline.
+//! `sedgestack-kit rehearse --faults`: plays one timeline of faults on a tier of real limiters. Also summarizes played
+//! timelines for other commands.
 
 use std::path::{Path, PathBuf};
 
@@ -11,24 +11,24 @@
 use crate::input::read_fleet;
 use crate::output::{Format, Verdict};
 
-/// Broken invariants that are printed at most.
-const MOST_BROKEN_SHOWN: usize = 10;
+/// Maximum number of violated invariants that are printed.
+const MAX_VIOLATIONS_SHOWN: usize = 10;
 
-/// A timeline to play and the tier to play it on.
+/// A timeline to play, and the tier to play it on.
 pub struct TimelineRun<'a> {
-    /// The fleet file.
+    /// Path of the fleet file.
     pub fleet: &'a Path,
-    /// The file that holds the timeline.
+    /// Path of the file that holds the timeline.
     pub faults: &'a Path,
-    /// Limiters in the tier.
+    /// Number of limiters in the tier.
     pub limiters: u32,
-    /// Feeds all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The daemon.
+    /// Path of the daemon.
     pub daemon: PathBuf,
 }
 
-/// Plays a timeline that a file holds.
+/// Reads a timeline from its file, plays it and prints the result.
 pub fn run(timeline: TimelineRun<'_>, format: Format) -> Result<Verdict, KitError> {
     let TimelineRun { limiters, seed, daemon, .. } = timeline;
     let fleet = read_fleet(timeline.fleet)?;
@@ -42,21 +42,21 @@
         ),
         Format::Table => {
             println!("{}: {}", timeline.faults.display(), summary(&played));
-            played.found.broken.iter().take(MOST_BROKEN_SHOWN).for_each(|broken| println!("  {broken:?}"));
+            played.found.broken.iter().take(MAX_VIOLATIONS_SHOWN).for_each(|broken| println!("  {broken:?}"));
             played.stuck.iter().for_each(|limiter| println!("{limiter}"));
         }
     }
     Ok(Verdict::from_bool(played.holds()))
 }
 
-/// A played timeline in one line.
+/// Summarizes a played timeline in one line.
 pub fn summary(played: &Played) -> String {
     let found = &played.found;
     let holds = if played.holds() { "held" } else { "BROKEN" };
-    let ruin = ruin_summary(played);
+    let harmful_change = harmful_change_summary(played);
     format!(
-        "{holds}: {} answers, {} versions; {} changes begun, {} refused at once, {} made; largest mixing {} us; {} rules \
-         broken, {} operators untold{}{ruin}",
+        "{holds}: {} answers, {} versions; {} changes begun, {} rejected at once, {} activated; \
+         largest version mixing {} us; {} invariants violated, {} changes with unreported outcome{}{harmful_change}",
         found.answers,
         found.versions,
         played.begun,
@@ -65,15 +65,19 @@
         found.largest_mixing_us,
         found.broken.len(),
         played.untold.len(),
-        if played.stuck.is_empty() { "" } else { ", never one version again" }
+        if played.stuck.is_empty() { "" } else { ", limiters did not converge on one version" }
     )
 }
 
-fn ruin_summary(played: &Played) -> String {
-    let Some(ruin) = &played.ruin else { return String::new() };
-    let undone = match ruin.undone_after_ms {
+/// Describes what a harmful change cost, if the timeline made one.
+fn harmful_change_summary(played: &Played) -> String {
+    let Some(cost) = &played.ruin else { return String::new() };
+    let undone = match cost.undone_after_ms {
         Some(ms) => format!("undone after {:.1} s", ms as f64 / 1e3),
         None => "not undone".into(),
     };
-    format!("; ruin {undone}: {} of {} tries lost, worth {:.0}", ruin.lost, ruin.tries, ruin.worth_lost)
+    format!(
+        "; harmful change {undone}: {} of {} requests lost, value {:.0}",
+        cost.lost, cost.tries, cost.worth_lost
+    )
 }
--- a/crates/kit/src/versions.rs
+++ b/crates/kit/src/versions.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit config`.
+//! `sedgestack-kit config`: checks, compares and changes versions of the runtime configuration.
 
 use std::path::{Path, PathBuf};
 
@@ -14,10 +14,10 @@
 use crate::output::{progress_bar, Format, Verdict};
 use crate::tier;
 
-/// Runs behind the impact of a change.
+/// Number of simulation runs behind the impact of a change.
 const SEEDS: u32 = 6;
-/// A plan gets a line of its own from this many newly rejected customers on, on average over seeds.
-const LEAST_NEWLY_REJECTED: f64 = 0.5;
+/// Minimum number of newly rejected customers, on average over seeds, for which a plan gets a separate line.
+const MIN_NEWLY_REJECTED: f64 = 0.5;
 
 #[derive(Subcommand)]
 #[command(after_help = "Examples:
@@ -30,64 +30,64 @@
   sedgestack-kit config hold --at 10.0.0.4:9901
   sedgestack-kit config pin --off --at 10.0.0.4:9901
 
-Exit status of status: 0 all named limiters stand current under one version, 1 they don't. Of commit, undo,
-hold and pin: 0 made and in force, 1 not made.")]
+Exit status of status: 0 all named limiters are current and have the same version, 1 otherwise. Exit status of commit,
+undo, hold and pin: 0 the change was made and is active, 1 it was not.")]
 pub enum Command {
-    /// Holds a version against the one before it; 1 where a rule refuses it
+    /// Checks a version against the one before it; exit status 1 if the change is not allowed
     Check(Check),
-    /// Says what changes from one version to the next
+    /// Prints the differences between two versions
     Diff {
-        /// The version before
+        /// The earlier version
         before: PathBuf,
-        /// The next version
+        /// The later version
         next: PathBuf,
     },
-    /// Says what each limiter of a running tier serves under, and what is pending
-    Status(tier::At),
-    /// Checks a document at a running limiter against the version in force there
+    /// Shows the version that each limiter of a running tier serves under, and pending changes
+    Status(tier::TierAddresses),
+    /// Has a running limiter check a document against its active version
     Stage {
         /// The document
         file: PathBuf,
         #[command(flatten)]
-        at: tier::At,
+        at: tier::TierAddresses,
     },
-    /// Makes a document the next version, everywhere or nowhere
+    /// Makes a document the next version on all limiters or on none
     Commit(tier::Commit),
-    /// Goes back to the document before the one in force, as a next version
+    /// Restores the document before the active one, as a new version
     Undo {
         #[command(flatten)]
-        at: tier::At,
-        /// Also where the version in force is pinned
+        at: tier::TierAddresses,
+        /// Undoes the active version even if it is pinned
         #[arg(long)]
         force: bool,
     },
-    /// Ends the watch of the version in force: it is not undone by itself
-    Hold(tier::At),
-    /// Lets no change be made of the version in force unless it is forced, and ends its watch
+    /// Ends the canary analysis of the active version, so that it is not rolled back automatically
+    Hold(tier::TierAddresses),
+    /// Pins the active version: ends its canary analysis, and allows only forced changes
     Pin {
         #[command(flatten)]
-        at: tier::At,
-        /// Lets changes be made again
+        at: tier::TierAddresses,
+        /// Removes the pin, so that changes are allowed again
         #[arg(long)]
         off: bool,
     },
     /// Lists the versions that were decided
-    History(tier::At),
-    /// Lets limiters that have all forgotten go on: a new tier, or one whose stores are lost
-    Adopt(tier::At),
+    History(tier::TierAddresses),
+    /// Starts a tier whose limiters have all lost their votes: a new tier, or one whose stores are lost
+    Adopt(tier::TierAddresses),
 }
 
 #[derive(Args)]
 pub struct Check {
     /// The version to check
     next: PathBuf,
-    /// The version that it was made for
+    /// The version that precedes it
     #[arg(long, value_name = "FILE")]
     before: PathBuf,
-    /// The fleet; with it both versions are tried on its load
+    /// The fleet file; simulates its load under both versions
     #[arg(long, value_name = "FILE")]
     fleet: Option<PathBuf>,
-    /// A capture to try them on in place of the load that the fleet file describes
+    /// A capture to take the load from, in place of the fleet file's; may be repeated
     #[arg(long, value_name = "FILE", requires = "fleet")]
     capture: Vec<PathBuf>,
 }
@@ -96,7 +96,7 @@
     Ok(Document::read(path)?)
 }
 
-/// Runs a command.
+/// Runs a subcommand.
 pub fn run(command: &Command, format: Format) -> Result<Verdict, KitError> {
     match command {
         Command::Check(arguments) => check(arguments, format),
@@ -127,7 +127,7 @@
     println!("{} -> {}: {}", before.digest(), next.digest(), next.provenance.reason);
     changes.iter().for_each(|change| println!("  {}", change.words));
     if changes.is_empty() {
-        println!("  nothing changes");
+        println!("  no differences");
     }
     Ok(Verdict::Done)
 }
@@ -137,7 +137,7 @@
     let errors = next.check(&arguments.next.display().to_string(), &before);
     let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
     let fleet = arguments.fleet.as_ref();
-    let impact = fleet.map(|path| try_both(path, &arguments.capture, &before, &next)).transpose()?;
+    let impact = fleet.map(|path| simulate_impact(path, &arguments.capture, &before, &next)).transpose()?;
     let changes = differences(&before, &next);
     match format {
         Format::Json => println!(
@@ -152,7 +152,7 @@
                 print_impact(plans);
             }
             if errors.is_empty() {
-                println!("{}: in order, {}", arguments.next.display(), next.digest());
+                println!("{}: valid, {}", arguments.next.display(), next.digest());
             }
         }
     }
@@ -172,22 +172,22 @@
             percent(&plan.service_after),
         ]
     });
-    let head = ["plan", "customers", "refused now", "then", "newly refused", "service now", "then"];
+    let head = ["plan", "customers", "rejected before", "after", "newly rejected", "service before", "after"];
     table(&head, rows.collect())
 }
 
 fn print_impact(plans: &[PlanImpact]) {
     println!("{}", impact_table(plans));
-    for plan in plans.iter().filter(|plan| plan.newly_refused >= LEAST_NEWLY_REJECTED) {
+    for plan in plans.iter().filter(|plan| plan.newly_refused >= MIN_NEWLY_REJECTED) {
         println!(
-            "  {:.0} of {} customers of {} would be refused that are served today",
+            "  {:.0} of {} customers of {} that are served today would be rejected",
             plan.newly_refused, plan.customers, plan.plan
         );
     }
 }
 
-/// Tries both versions on the same load.
-fn try_both(
+/// Simulates both versions under the same load, and returns the impact on each plan.
+fn simulate_impact(
     fleet: &Path,
     captures: &[PathBuf],
     before: &Document,
@@ -195,7 +195,7 @@
 ) -> Result<Vec<PlanImpact>, KitError> {
     let fleet = read_fleet(fleet)?.with_rules(before);
     let bar = progress_bar();
-    bar.set_message("trying both versions");
+    bar.set_message("simulating both versions");
     let source = load_source(&fleet, captures)?;
     let found = impact(&fleet, &fleet.with_rules(next), &source, SEEDS);
     bar.finish_and_clear();
--- a/crates/kit/tests/limiter/mod.rs
+++ b/crates/kit/tests/limiter/mod.rs
@@ -1,48 +1,49 @@
-//! A limiter's operators' address that gives prepared answers and keeps what it was asked.
+//! A stand-in for a limiter's operations address that gives prepared responses and records its requests.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// One answer: the start of the request line it is for, the status and the body.
-type Answer = (&'static str, u16, &'static str);
+/// A prepared response: the start of the request lines that it matches, the status and the body.
+type PreparedResponse = (&'static str, u16, &'static str);
 
-/// A stand-in for a limiter, on loopback; it serves until the test program ends.
-pub struct Limiter {
+/// A stand-in for a limiter on loopback. It serves until the test process exits.
+pub struct StandInLimiter {
     pub address: SocketAddr,
-    asked: Arc<Mutex<Vec<String>>>,
+    requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl Limiter {
-    /// Starts one; the first answer whose request line fits is given.
-    pub fn start(answers: &'static [Answer]) -> Limiter {
-        // Ports of one length, as addresses stand in the columns of tables.
-        let bound = || TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let long = |l: &TcpListener| l.local_addr().is_ok_and(|address| address.port() >= 10_000);
-        let listener = std::iter::repeat_with(bound).find(long).expect("ports are tried without end");
-        let address = listener.local_addr().expect("it is bound");
-        let asked = Arc::new(Mutex::new(Vec::new()));
-        let kept = Arc::clone(&asked);
+impl StandInLimiter {
+    /// Starts a stand-in that gives each request the first response whose request line matches.
+    pub fn start(responses: &'static [PreparedResponse]) -> StandInLimiter {
+        // Only ports of five digits are used, because addresses determine the width of printed table columns.
+        let bind = || TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let has_five_digits = |l: &TcpListener| l.local_addr().is_ok_and(|address| address.port() >= 10_000);
+        let listener = std::iter::repeat_with(bind).find(has_five_digits).expect("the iterator is infinite");
+        let address = listener.local_addr().expect("the listener is bound");
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let recorded = Arc::clone(&requests);
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                serve(&stream, answers, &kept);
+                serve(&stream, responses, &recorded);
             }
         });
-        Limiter { address, asked }
+        StandInLimiter { address, requests }
     }
 
-    /// The requests since it was last asked this: their lines, and their bodies by length.
-    pub fn take_asked(&self) -> Vec<String> {
-        std::mem::take(&mut self.asked.lock().expect("no thread panics holding it"))
+    /// Returns the requests since the last call: the request line and the length of the body of each.
+    pub fn take_requests(&self) -> Vec<String> {
+        std::mem::take(&mut self.requests.lock().expect("no thread panics while it holds the lock"))
     }
 }
 
-/// Keeps a request before it is answered, so that whoever has the answer finds the request kept.
-fn serve(mut stream: &TcpStream, answers: &[Answer], asked: &Mutex<Vec<String>>) {
+/// Serves one request. Records the request before sending the response, so that a client that has the response finds it
+/// recorded.
+fn serve(mut stream: &TcpStream, responses: &[PreparedResponse], requests: &Mutex<Vec<String>>) {
     let mut reader = BufReader::new(stream);
     let mut line = || {
         let mut line = String::new();
-        reader.read_line(&mut line).expect("a request is read");
+        reader.read_line(&mut line).expect("the request can be read");
         line.trim_end().to_string()
     };
     let request = line();
@@ -53,15 +54,15 @@
             break;
         }
         if let Some(value) = header.strip_prefix("content-length:") {
-            length = value.trim().parse().expect("a length");
+            length = value.trim().parse().expect("a valid content length");
         }
     }
     let mut body = vec![0; length];
-    reader.read_exact(&mut body).expect("a body is read");
-    let found = answers.iter().find(|(start, ..)| request.starts_with(start));
+    reader.read_exact(&mut body).expect("the body can be read");
+    let found = responses.iter().find(|(start, ..)| request.starts_with(start));
     let (_, status, text) = found.unwrap_or(&("", 404, "no such call\n"));
     let head = format!("HTTP/1.1 {status} -\r\ncontent-length: {}\r\nconnection: close\r\n\r\n", text.len());
     let request = format!("{request}, {length} bytes of body");
-    asked.lock().expect("no thread panics holding it").push(request);
-    stream.write_all((head + text).as_bytes()).expect("an answer is written");
+    requests.lock().expect("no thread panics while it holds the lock").push(request);
+    stream.write_all((head + text).as_bytes()).expect("the response can be written");
 }
--- a/crates/kit/tests/output.rs
+++ b/crates/kit/tests/output.rs
@@ -1,29 +1,29 @@
-//! The kit's output, whole, as recorded: exit status, standard output and standard error, byte for byte.
+//! Compares the kit's exit status, standard output and standard error with recorded transcripts, byte for byte.
 //!
-//! `tests/inputs` holds the files that runs are given. They are copies: a setting that is in use there must still be
-//! taken when the samples in `deploy` come to use a clearer word for it.
+//! `tests/inputs` holds the input files. `fleet.hcl` and `rules.hcl` are copies of the samples in `deploy`, so that the
+//! kit must still accept a setting's present name after the samples have changed to a clearer one.
 
 mod limiter;
 mod transcript;
 
-use limiter::Limiter;
-use transcript::{recorded, Transcript};
+use limiter::StandInLimiter;
+use transcript::{assert_as_recorded, Transcript};
 
 const FLEET: &str = include_str!("inputs/fleet.hcl");
 const EVERY_KEY: &str = include_str!("inputs/every-key.hcl");
 const RULES: &str = include_str!("inputs/rules.hcl");
 
-/// A text with parts replaced, each of which must be there.
-fn changed(text: &str, changes: &[(&str, &str)]) -> String {
+/// Replaces parts of a text, each of which must occur.
+fn replaced(text: &str, changes: &[(&str, &str)]) -> String {
     changes.iter().fold(text.to_string(), |text, (from, to)| {
-        assert!(text.contains(from), "'{from}' is in the text");
+        assert!(text.contains(from), "'{from}' is not in the text");
         text.replacen(from, to, 1)
     })
 }
 
-/// The sample fleet, so short and with so few counts to try that a plan takes a moment.
+/// The sample fleet with a short run and few numbers of workers, so that a plan is computed quickly.
 fn short_fleet() -> String {
-    changed(
+    replaced(
         FLEET,
         &[
             ("length              = \"40s\"", "length = \"8s\""),
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn helps_and_version() {
-    recorded("helps", |t| {
+fn help_and_version() {
+    assert_as_recorded("helps", |t| {
         t.run("--version");
         t.run("--help");
         t.run("");
@@ -56,16 +56,16 @@
 
 #[test]
 fn completions() {
-    recorded("completions", |t| {
+    assert_as_recorded("completions", |t| {
         for shell in ["bash", "elvish", "fish", "powershell", "zsh"] {
-            t.run_in_short(&format!("completions {shell}"));
+            t.run_with_digest(&format!("completions {shell}"));
         }
     });
 }
 
 #[test]
-fn words_that_are_not_known() {
-    recorded("unknown-words", |t| {
+fn invalid_arguments() {
+    assert_as_recorded("unknown-words", |t| {
         t.write("fleet.hcl", FLEET);
         for line in [
             "planned fleet.hcl",
@@ -93,26 +93,26 @@
 
 #[test]
 fn plan_of_the_described_load() {
-    recorded("plan-described", |t| {
+    assert_as_recorded("plan-described", |t| {
         t.write("fleet.hcl", short_fleet());
         t.run("plan fleet.hcl --seeds 2 --html plan.html");
-        t.file("plan.html");
+        t.record_file("plan.html");
         t.run("plan fleet.hcl --seeds 2 --format json");
     });
 }
 
 #[test]
-fn plan_of_a_grown_load_and_of_aims_that_no_count_keeps() {
-    recorded("plan-grown", |t| {
+fn plan_with_growth_and_with_unreachable_aims() {
+    assert_as_recorded("plan-grown", |t| {
         t.write(
             "grown.hcl",
-            changed(&short_fleet(), &[("clients {", "growth {\n  load = 1.3\n}\n\nclients {")]),
+            replaced(&short_fleet(), &[("clients {", "growth {\n  load = 1.3\n}\n\nclients {")]),
         );
         t.run("plan grown.hcl --seeds 2 --html grown.html");
-        t.file("grown.html");
+        t.record_file("grown.html");
         t.write(
             "beyond.hcl",
-            changed(&short_fleet(), &[("in_time = 0.99", "in_time = 1"), ("= 74", "= 240")]),
+            replaced(&short_fleet(), &[("in_time = 0.99", "in_time = 1"), ("= 74", "= 240")]),
         );
         t.run("plan beyond.hcl --seeds 2");
     });
@@ -120,38 +120,38 @@
 
 #[test]
 fn plan_of_a_fleet_file_with_every_key() {
-    recorded("plan-every-key", |t| {
+    assert_as_recorded("plan-every-key", |t| {
         t.write("fleet.hcl", EVERY_KEY);
         t.run("plan fleet.hcl");
         t.run("plan fleet.hcl --format json --html plan.html");
-        t.file("plan.html");
+        t.record_file("plan.html");
         t.run("bound fleet.hcl");
     });
 }
 
 #[test]
-fn captures_drawn_shown_checked_merged_and_planned_from() {
-    recorded("captures", |t| {
+fn capture_commands_and_plan_from_captures() {
+    assert_as_recorded("captures", |t| {
         t.write("fleet.hcl", short_fleet());
         t.run("capture draw fleet.hcl --out drawn");
         t.run("capture draw fleet.hcl --out drawn");
         for limiter in ["n0", "n1", "n2"] {
-            t.file(&format!("drawn/{limiter}.sedgecap"));
+            t.record_file(&format!("drawn/{limiter}.sedgecap"));
         }
         t.run("capture show drawn/n0.sedgecap");
         t.run("capture show drawn/n1.sedgecap --records 30");
         t.run("capture show drawn/n2.sedgecap --format json");
         t.run("capture check drawn/n0.sedgecap drawn/n1.sedgecap drawn/n2.sedgecap");
         t.run("capture merge drawn/n0.sedgecap drawn/n1.sedgecap drawn/n2.sedgecap --out day.sedgecap");
-        t.file("day.sedgecap");
+        t.record_file("day.sedgecap");
         t.run("capture show day.sedgecap --records 30");
         t.run("capture merge drawn/n0.sedgecap drawn/n1.sedgecap --out day.sedgecap");
         t.run("capture merge drawn/n0.sedgecap drawn/n2.sedgecap --out two.sedgecap --format json");
         t.run("capture merge drawn/n0.sedgecap drawn/n0.sedgecap --out twice.sedgecap");
         t.run("capture draw fleet.hcl --scenario busy --seed 3 --out busy --format json");
-        t.file("busy/n0.sedgecap");
+        t.record_file("busy/n0.sedgecap");
         t.run("plan fleet.hcl --seeds 2 --capture day.sedgecap --html plan.html");
-        t.file("plan.html");
+        t.record_file("plan.html");
         t.run(
             "plan fleet.hcl --seeds 2 --capture drawn/n0.sedgecap --capture drawn/n2.sedgecap --format json",
         );
@@ -159,8 +159,8 @@
 }
 
 #[test]
-fn every_scenario_drawn() {
-    recorded("scenarios", |t| {
+fn capture_draw_of_every_scenario() {
+    assert_as_recorded("scenarios", |t| {
         t.write("fleet.hcl", short_fleet());
         for scenario in [
             "calm",
@@ -173,7 +173,7 @@
             "beyond-capacity",
         ] {
             t.run(&format!("capture draw fleet.hcl --scenario {scenario} --seed 7 --out {scenario}"));
-            t.file(&format!("{scenario}/n0.sedgecap"));
+            t.record_file(&format!("{scenario}/n0.sedgecap"));
             t.run(&format!("capture show {scenario}/n0.sedgecap"));
         }
     });
@@ -181,7 +181,7 @@
 
 #[test]
 fn damaged_captures_and_captures_of_another_fleet() {
-    recorded("captures-damaged", |t| {
+    assert_as_recorded("captures-damaged", |t| {
         t.write("fleet.hcl", FLEET);
         t.run("capture draw fleet.hcl --out drawn");
         let whole = t.read("drawn/n0.sedgecap");
@@ -198,9 +198,9 @@
         t.run("capture show text.sedgecap");
         t.run("capture show missing.sedgecap");
         t.run("capture merge drawn/n1.sedgecap cut.sedgecap --out damaged.sedgecap");
-        t.write("other.hcl", changed(FLEET, &[("plan \"faculdade\"", "plan \"gold\"")]));
+        t.write("other.hcl", replaced(FLEET, &[("plan \"faculdade\"", "plan \"gold\"")]));
         t.run("plan other.hcl --seeds 2 --capture drawn/n0.sedgecap");
-        t.write("two.hcl", changed(FLEET, &[("limiters = 1", "limiters = 0")]).replace("[2, 3]", "[1, 2]"));
+        t.write("two.hcl", replaced(FLEET, &[("limiters = 1", "limiters = 0")]).replace("[2, 3]", "[1, 2]"));
         t.run("plan two.hcl --seeds 2 --capture drawn/n0.sedgecap");
         t.run("plan fleet.hcl --seeds 2 --capture missing.sedgecap");
     });
@@ -208,7 +208,7 @@
 
 #[test]
 fn bounds() {
-    recorded("bound", |t| {
+    assert_as_recorded("bound", |t| {
         t.write("fleet.hcl", FLEET);
         t.run("bound fleet.hcl");
         t.run("bound fleet.hcl --format json");
@@ -223,11 +223,11 @@
 }
 
 #[test]
-fn faulty_fleet_files() {
-    recorded("fleet-faults", |t| {
+fn invalid_fleet_files() {
+    assert_as_recorded("fleet-faults", |t| {
         t.run("plan missing.hcl");
         t.run("bound missing.hcl");
-        let sample = |from, to| changed(FLEET, &[(from, to)]);
+        let sample = |from, to| replaced(FLEET, &[(from, to)]);
         let faulty = [
             ("no-cores", sample("cores        = 2", "cores        = 0")),
             ("no-number", sample("cores        = 2", "cores        = \"two\"")),
@@ -254,11 +254,11 @@
 }
 
 #[test]
-fn versions_of_the_rules_checked_and_compared() {
-    recorded("config", |t| {
+fn config_check_and_diff() {
+    assert_as_recorded("config", |t| {
         let next = |changes: &[(&str, &str)]| {
             let head = ("reason = \"as the sample fleet runs today\"", "reason = \"asked for by support\"");
-            changed(RULES, &[&[head], changes].concat())
+            replaced(RULES, &[&[head], changes].concat())
         };
         let tenfold = ("rate  = 7.2", "rate  = 0.72");
         let overriding = ("support\"", "support\"\n  overrides = [\"plan.faculdade.rate\"]");
@@ -292,20 +292,20 @@
 }
 
 #[test]
-fn versions_that_are_not_in_order() {
-    recorded("config-faults", |t| {
+fn invalid_runtime_configurations() {
+    assert_as_recorded("config-faults", |t| {
         t.write("current.hcl", RULES);
         let faulty = [
-            ("no-reason", changed(RULES, &[("as the sample fleet runs today", "because")])),
-            ("no-author", changed(RULES, &[("platform", " ")])),
-            ("no-parent", changed(RULES, &[("parent = 0", "")])),
-            ("no-version", changed(RULES, &[("version {", "versions {")])),
-            ("unknown", changed(RULES, &[("burst = 6.5", "bursts = 6.5")])),
-            ("twice", changed(RULES, &[("plan \"escola\"", "plan \"basico\"")])),
-            ("late-aim", changed(RULES, &[("\"800ms\"", "\"8s\"")])),
-            ("no-flag", changed(RULES, &[("parent = 0", "parent = 0\n  watch = \"no\"")])),
+            ("no-reason", replaced(RULES, &[("as the sample fleet runs today", "because")])),
+            ("no-author", replaced(RULES, &[("platform", " ")])),
+            ("no-parent", replaced(RULES, &[("parent = 0", "")])),
+            ("no-version", replaced(RULES, &[("version {", "versions {")])),
+            ("unknown", replaced(RULES, &[("burst = 6.5", "bursts = 6.5")])),
+            ("twice", replaced(RULES, &[("plan \"escola\"", "plan \"basico\"")])),
+            ("late-aim", replaced(RULES, &[("\"800ms\"", "\"8s\"")])),
+            ("no-flag", replaced(RULES, &[("parent = 0", "parent = 0\n  watch = \"no\"")])),
             ("address", RULES.to_string() + "addresses {\n  counter = \"here\"\n}\n"),
-            ("no-hcl", changed(RULES, &[("limits {", "limits [")])),
+            ("no-hcl", replaced(RULES, &[("limits {", "limits [")])),
             ("empty", String::new()),
         ];
         for (name, text) in faulty {
@@ -319,8 +319,8 @@
 }
 
 #[test]
-fn faulty_timelines() {
-    recorded("timeline-faults", |t| {
+fn invalid_timelines() {
+    assert_as_recorded("timeline-faults", |t| {
         t.write("fleet.hcl", FLEET);
         for (name, text) in [
             ("unknown-step", "step \"explode\" {}\n"),
@@ -345,84 +345,95 @@
 }
 
 #[test]
-fn the_samples_as_shipped_say_what_the_copies_say() {
-    recorded("shipped", |t| {
+fn deploy_samples_match_the_copies() {
+    assert_as_recorded("shipped", |t| {
         t.write("fleet.hcl", include_str!("../../../deploy/fleet-sample.hcl"));
         t.write("rules.hcl", include_str!("../../../deploy/rules-sample.hcl"));
         t.write("copy.hcl", RULES);
         t.run("bound fleet.hcl");
         t.run("capture draw fleet.hcl --out drawn");
-        t.file("drawn/n0.sedgecap");
+        t.record_file("drawn/n0.sedgecap");
         t.run("config diff copy.hcl rules.hcl");
     });
 }
 
-/// What limiters with three states tell of the rules.
+/// The state of the runtime configuration at a limiter with the active version.
 const IN_FORCE: &str = r#"{"version": 8, "digest": "5d1f", "standing": "current", "known_for_ms": 1200, "member": 0,
 "members": 2, "waits_for_adopt": false, "pinned": false, "next": null,
 "begun_here": {"version": 8, "outcome": "made", "unanswered": []},
 "watch": {"state": "watched", "judges": true, "version": 8, "seconds_after": 12},
 "history": [{"version": 7, "digest": "77aa", "void": false, "author": "platform", "reason": "first of all"},
 {"version": 8, "digest": "5d1f", "void": false, "author": "support", "reason": "a larger plan"}]}"#;
+/// The state at a limiter that is one version behind.
 const BEHIND: &str = r#"{"version": 7, "digest": "77aa", "standing": "behind", "known_for_ms": 90, "member": 1,
 "members": 2, "waits_for_adopt": false, "pinned": true, "next": {"version": 8},
 "begun_here": {"version": 8, "outcome": "void", "unanswered": [3, 4]},
 "watch": {"state": "undone", "judges": true, "version": 6, "drop": 0.31}, "history": []}"#;
-const FORGOTTEN: &str = r#"{"version": 0, "digest": "0000", "standing": "unknown", "known_for_ms": 0, "member": 2,
+/// The state at a limiter that has lost its votes and waits for adoption.
+const VOTES_LOST: &str = r#"{"version": 0, "digest": "0000", "standing": "unknown", "known_for_ms": 0, "member": 2,
 "members": 1, "waits_for_adopt": true, "pinned": false, "next": null, "begun_here": null, "watch": null,
 "history": []}"#;
-const BEGUN: &str = r#"{"version": 8, "at_us": 0}"#;
+/// The response to a call that begins a change.
+const CHANGE_BEGUN: &str = r#"{"version": 8, "at_us": 0}"#;
+/// The response to a call that stages a document.
 const STAGED: &str = r#"{"digest": "5d1f", "parent": 7, "changes": [{"words": "escola, rate: 2 to 3"}]}"#;
 
 #[test]
-fn a_running_tier_is_asked_by_the_same_paths_and_answers_are_told_in_the_same_words() {
-    recorded("operators", |t| {
-        let made = Limiter::start(&[
+fn config_commands_on_a_running_tier() {
+    assert_as_recorded("operators", |t| {
+        let made = StandInLimiter::start(&[
             ("GET /admin/rules ", 200, IN_FORCE),
             ("PUT /admin/rules/stage ", 200, STAGED),
-            ("PUT /admin/rules/", 200, BEGUN),
+            ("PUT /admin/rules/", 200, CHANGE_BEGUN),
         ]);
-        let void = Limiter::start(&[
+        let void = StandInLimiter::start(&[
             ("GET /admin/rules ", 200, BEHIND),
             ("PUT /admin/rules/stage ", 422, "the document:3:1: plan: is missing\n"),
-            ("PUT /admin/rules/", 200, BEGUN),
+            ("PUT /admin/rules/", 200, CHANGE_BEGUN),
+        ]);
+        let lost = StandInLimiter::start(&[
+            ("GET /admin/rules ", 200, VOTES_LOST),
+            ("PUT /admin/rules/adopt ", 200, "{}"),
         ]);
-        let lost =
-            Limiter::start(&[("GET /admin/rules ", 200, FORGOTTEN), ("PUT /admin/rules/adopt ", 200, "{}")]);
         t.write("next.hcl", RULES);
         let limiters = [("MADE", &made), ("VOID", &void), ("LOST", &lost)];
         let names = limiters.map(|(name, limiter)| (name, limiter.address.to_string()));
-        let mut ask = |line: &str| ask(t, line, &names, &limiters);
-        ask("config status --at MADE");
-        ask("config status --at MADE VOID LOST");
-        ask("config status --at MADE VOID --format json");
-        ask("config history --at MADE");
-        ask("config history --at MADE --format json");
+        let mut run = |line: &str| run_on_tier(t, line, &names, &limiters);
+        run("config status --at MADE");
+        run("config status --at MADE VOID LOST");
+        run("config status --at MADE VOID --format json");
+        run("config history --at MADE");
+        run("config history --at MADE --format json");
         for limiter in ["MADE", "VOID"] {
-            ask(&format!("config stage next.hcl --at {limiter}"));
-            ask(&format!("config commit next.hcl --at {limiter}"));
-            ask(&format!("config undo --at {limiter}"));
-            ask(&format!("config undo --force --at {limiter} --format json"));
-            ask(&format!("config hold --at {limiter}"));
-            ask(&format!("config pin --at {limiter}"));
-            ask(&format!("config pin --off --at {limiter}"));
-            ask(&format!("config adopt --at {limiter}"));
+            run(&format!("config stage next.hcl --at {limiter}"));
+            run(&format!("config commit next.hcl --at {limiter}"));
+            run(&format!("config undo --at {limiter}"));
+            run(&format!("config undo --force --at {limiter} --format json"));
+            run(&format!("config hold --at {limiter}"));
+            run(&format!("config pin --at {limiter}"));
+            run(&format!("config pin --off --at {limiter}"));
+            run(&format!("config adopt --at {limiter}"));
         }
-        ask("config commit next.hcl --at MADE --scope all --except n7 --except 4 --force --begin-only");
-        ask("config stage next.hcl --at MADE --format json");
-        ask("config stage missing.hcl --at MADE");
-        ask("config adopt --at LOST");
-        ask("config adopt --at LOST --format json");
-        ask("config hold --at LOST");
+        run("config commit next.hcl --at MADE --scope all --except n7 --except 4 --force --begin-only");
+        run("config stage next.hcl --at MADE --format json");
+        run("config stage missing.hcl --at MADE");
+        run("config adopt --at LOST");
+        run("config adopt --at LOST --format json");
+        run("config hold --at LOST");
     });
 }
 
-/// Runs a line and takes down what each limiter was asked.
-fn ask(t: &mut Transcript, line: &str, names: &[(&str, String)], limiters: &[(&str, &Limiter)]) {
-    t.run_naming(line, names);
+/// Runs a command line and records the requests that each limiter received.
+fn run_on_tier(
+    t: &mut Transcript,
+    line: &str,
+    names: &[(&str, String)],
+    limiters: &[(&str, &StandInLimiter)],
+) {
+    t.run_with_names(line, names);
     for (name, limiter) in limiters {
-        for request in limiter.take_asked() {
-            t.note(&format!("-- {name} was asked: {request}"));
+        for request in limiter.take_requests() {
+            t.record_line(&format!("-- {name} was asked: {request}"));
         }
     }
 }
--- a/crates/kit/tests/transcript/mod.rs
+++ b/crates/kit/tests/transcript/mod.rs
@@ -1,23 +1,23 @@
-//! Runs the kit in a folder of its own and holds what it prints against a recorded transcript, byte for byte.
+//! Runs the kit in a temporary folder and compares its output with a recorded transcript, byte for byte.
 //!
-//! Programs run with that folder as their working folder and are given relative names, so that nothing printed
-//! depends on where it lies. Only addresses on loopback, whose ports are not known before, are replaced by names.
+//! The temporary folder is the working folder, and the kit is given relative paths, so that the output does not depend
+//! on the folder's path. Only loopback addresses are replaced by names, because their ports vary.
 //!
-//! `RECORD_OUTPUT=1` writes the transcripts anew and fails each test that did so. Recording is allowed only where an
-//! output is meant to change; the commit lists what changed in it.
+//! `RECORD_OUTPUT=1` overwrites the transcripts and fails each test that does so. Record only where an output is meant
+//! to change, and list the changes in the commit.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
-/// Set to 1, it has the transcripts written in place of compared.
-const RECORD: &str = "RECORD_OUTPUT";
-/// The output may not depend on how many threads share the work.
+/// The environment variable that, set to 1, makes tests overwrite the transcripts instead of comparing them.
+const RECORD_VARIABLE: &str = "RECORD_OUTPUT";
+/// Numbers of worker threads; the output must be the same with each.
 const THREADS: [&str; 2] = ["1", "8"];
-/// So much of a line is told on either side of the first character that differs.
-const TOLD: usize = 80;
+/// Number of characters printed on either side of the first difference in a line.
+const DIFFERENCE_CONTEXT: usize = 80;
 
-/// What the runs of one case have printed.
+/// The transcript of one test case: its command lines and their output.
 pub struct Transcript {
     folder: tempfile::TempDir,
     threads: &'static str,
@@ -30,53 +30,54 @@
         Transcript { folder, threads, text: String::new() }
     }
 
-    /// Writes a file for the runs to come.
+    /// Writes a file that later runs can read.
     pub fn write(&self, name: &str, content: impl AsRef<[u8]>) {
         fs::write(self.folder.path().join(name), content).expect("the folder can be written");
     }
 
-    /// What a file holds that was written or left behind by a run.
+    /// Reads a file that the test or a run has written.
     pub fn read(&self, name: &str) -> Vec<u8> {
         fs::read(self.folder.path().join(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
     }
 
-    /// Runs the kit with the words of a line and takes down how it ended and what it printed.
+    /// Runs the kit with the arguments in a line, and records the exit status and the output.
     pub fn run(&mut self, line: &str) {
-        self.run_naming(line, &[]);
+        self.run_with_names(line, &[]);
     }
 
-    /// As [`Transcript::run`], for long output that is not to be read: standard output by its length and digest.
-    pub fn run_in_short(&mut self, line: &str) {
-        let ended = self.ended(line);
-        self.head(line, &ended);
-        self.note(&format!("-- stdout: {}", in_short(&ended.stdout)));
-        self.stream("stderr", &text(ended.stderr));
+    /// Like [`Transcript::run`], but records only the length and the digest of standard output.
+    pub fn run_with_digest(&mut self, line: &str) {
+        let output = self.execute(line);
+        self.record_command(line, &output);
+        self.record_line(&format!("-- stdout: {}", length_and_digest(&output.stdout)));
+        self.record_stream("stderr", &text(output.stderr));
     }
 
-    /// As [`Transcript::run`], with each name in the line replaced by its value, and the other way round in what is
-    /// taken down.
-    pub fn run_naming(&mut self, line: &str, names: &[(&str, String)]) {
-        let ended =
-            self.ended(&names.iter().fold(line.to_string(), |line, (name, value)| line.replace(name, value)));
+    /// Like [`Transcript::run`], but replaces each name in the line by its value, and each value in the output by its
+    /// name.
+    pub fn run_with_names(&mut self, line: &str, names: &[(&str, String)]) {
+        let output = self
+            .execute(&names.iter().fold(line.to_string(), |line, (name, value)| line.replace(name, value)));
         let named = |stream| names.iter().fold(text(stream), |text, (name, value)| text.replace(value, name));
-        self.head(line, &ended);
-        self.stream("stdout", &named(ended.stdout));
-        self.stream("stderr", &named(ended.stderr));
+        self.record_command(line, &output);
+        self.record_stream("stdout", &named(output.stdout));
+        self.record_stream("stderr", &named(output.stderr));
     }
 
-    /// Takes down the length and the digest of a file that a run has written.
-    pub fn file(&mut self, name: &str) {
+    /// Records the length and the digest of a file that a run has written.
+    pub fn record_file(&mut self, name: &str) {
         let content = self.read(name);
-        self.note(&format!("-- {name}: {}", in_short(&content)));
+        self.record_line(&format!("-- {name}: {}", length_and_digest(&content)));
     }
 
-    /// Takes down a line.
-    pub fn note(&mut self, line: &str) {
+    /// Appends a line to the transcript.
+    pub fn record_line(&mut self, line: &str) {
         self.text.push_str(line);
         self.text.push('\n');
     }
 
-    fn ended(&self, line: &str) -> Output {
+    /// Runs the kit with the arguments in a line.
+    fn execute(&self, line: &str) -> Output {
         Command::new(env!("CARGO_BIN_EXE_sedgestack-kit"))
             .args(line.split_whitespace())
             .current_dir(self.folder.path())
@@ -84,23 +85,25 @@
             .env("RAYON_NUM_THREADS", self.threads)
             .stdin(Stdio::null())
             .output()
-            .expect("the kit starts")
+            .expect("the kit can be started")
     }
 
-    fn head(&mut self, line: &str, ended: &Output) {
-        self.note(&format!("$ sedgestack-kit {line}"));
-        self.note(&format!("-- {}", ended.status));
+    /// Records a command line and its exit status.
+    fn record_command(&mut self, line: &str, output: &Output) {
+        self.record_line(&format!("$ sedgestack-kit {line}"));
+        self.record_line(&format!("-- {}", output.status));
     }
 
-    fn stream(&mut self, name: &str, text: &str) {
+    /// Records one output stream of a run, unless it is empty.
+    fn record_stream(&mut self, name: &str, text: &str) {
         if text.is_empty() {
             return;
         }
-        self.note(&format!("-- {name}:"));
+        self.record_line(&format!("-- {name}:"));
         self.text.push_str(text);
         if !text.ends_with('\n') {
-            self.note("");
-            self.note("-- no newline at the end");
+            self.record_line("");
+            self.record_line("-- no newline at the end");
         }
     }
 }
@@ -109,53 +112,58 @@
     String::from_utf8(stream).expect("UTF-8")
 }
 
-/// Plays a case once for each number of threads; the transcripts must be alike and as recorded.
-pub fn recorded(name: &str, case: impl Fn(&mut Transcript)) {
-    let [once, again] = THREADS.map(|threads| {
+/// Runs a case once for each number of threads, and asserts that the transcripts are equal to the recorded one.
+pub fn assert_as_recorded(name: &str, case: impl Fn(&mut Transcript)) {
+    let [first, second] = THREADS.map(|threads| {
         let mut transcript = Transcript::new(threads);
         case(&mut transcript);
         transcript.text
     });
-    same(&format!("{name} with {} and with {} threads", THREADS[0], THREADS[1]), &once, &again);
+    assert_same(&format!("{name} with {} and with {} threads", THREADS[0], THREADS[1]), &first, &second);
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded").join(format!("{name}.txt"));
-    if std::env::var(RECORD).is_ok_and(|set| set == "1") {
-        fs::write(&path, &again).expect("the recorded outputs can be written");
-        panic!("{name}: recorded anew, not compared; run again without {RECORD}");
+    if std::env::var(RECORD_VARIABLE).is_ok_and(|set| set == "1") {
+        fs::write(&path, &second).expect("the transcript can be written");
+        panic!("{name}: the transcript was overwritten, not compared; run again without {RECORD_VARIABLE}");
     }
     let expected = fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-    if expected != again {
-        fs::write(printed(name), &again).expect("the target folder can be written");
+    if expected != second {
+        fs::write(actual_path(name), &second).expect("the target folder can be written");
     }
-    same(&format!("{name}, recorded and printed (in {})", printed(name).display()), &expected, &again);
+    assert_same(
+        &format!("{name}, recorded and actual (in {})", actual_path(name).display()),
+        &expected,
+        &second,
+    );
 }
 
-/// Where a transcript is left that is not as recorded.
-fn printed(name: &str) -> PathBuf {
+/// Returns the path that a transcript is written to if it differs from the recorded one.
+fn actual_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.txt"))
 }
 
-/// Fails at the first line that differs, and tells it from shortly before the difference.
-fn same(what: &str, expected: &str, found: &str) {
+/// Asserts that two transcripts are equal; otherwise panics with the first difference.
+fn assert_same(what: &str, expected: &str, found: &str) {
     if expected == found {
         return;
     }
     let mut lines = expected.split('\n').zip(found.split('\n')).enumerate();
     let Some((n, (old, new))) = lines.find(|(_, (old, new))| old != new) else {
-        panic!("{what}: one ends where the other goes on");
+        panic!("{what}: one transcript is a prefix of the other");
     };
     let alike = old.chars().zip(new.chars()).take_while(|(old, new)| old == new).count();
-    let near =
-        |line: &str| -> String { line.chars().skip(alike.saturating_sub(TOLD)).take(2 * TOLD).collect() };
+    let near = |line: &str| -> String {
+        line.chars().skip(alike.saturating_sub(DIFFERENCE_CONTEXT)).take(2 * DIFFERENCE_CONTEXT).collect()
+    };
     let (old, new) = (near(old), near(new));
     panic!(
-        "{what}: line {} differs from its character {}\nexpected: {old}\n   found: {new}",
+        "{what}: line {} differs from character {} on\nexpected: {old}\n   found: {new}",
         n + 1,
         alike + 1
     );
 }
 
-/// Length and digest (FNV-1a, 64 bits) of what is not recorded whole.
-fn in_short(content: &[u8]) -> String {
+/// Formats the length and the digest (FNV-1a, 64 bits) of content that is not recorded in full.
+fn length_and_digest(content: &[u8]) -> String {
     const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     let digest = content.iter().fold(BASIS, |digest, byte| (digest ^ u64::from(*byte)).wrapping_mul(PRIME));
--- a/src/bin/sedgestack-simhost/host.rs
+++ b/src/bin/sedgestack-simhost/host.rs
@@ -1,4 +1,4 @@
-//! The limiters of a simulation, and the batches of lines that they are handed.
+//! Runs the limiters of a simulation and passes each batch of events to them.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -8,13 +8,13 @@
 
 use crate::wire::{self, EndpointLists, Line, WireError};
 
-/// A simulated limiter that is up.
+/// A running limiter of the simulation.
 struct Instance {
     limiter: Limiter,
     names: NameIndex,
 }
 
-/// An endpoint list whose `ROW` lines are still coming.
+/// An endpoint list that lacks some of its `ROW` lines.
 struct PartialList {
     table: u64,
     missing_rows: u64,
@@ -24,24 +24,25 @@
 /// All limiters of a simulation.
 #[derive(Default)]
 pub struct Host {
-    /// By id; `None` for an instance that was halted.
+    /// Instances by id; `None` for an instance that was halted.
     instances: BTreeMap<u64, Option<Instance>>,
     lists: EndpointLists,
     partial_list: Option<PartialList>,
-    /// The clock of the open batch.
+    /// The simulator's time at the open batch; `None` outside a batch.
     batch_time: Option<Micros>,
-    /// Events of the open batch, by instance, in order of arrival.
+    /// Events of the open batch by instance, in order of arrival.
     pending: BTreeMap<u64, Vec<Event>>,
+    /// The open batch's reply, reused to save allocations.
     reply: String,
 }
 
 impl Host {
-    /// Whether a batch has begun and not ended.
+    /// Whether a batch has begun but not ended.
     pub fn is_inside_batch(&self) -> bool {
         self.batch_time.is_some()
     }
 
-    /// Takes in a line; the one that ends a batch writes its reply to `output`.
+    /// Handles a line of input. The line that ends a batch writes the batch's reply to `output`.
     pub fn handle_line(&mut self, text: &str, output: &mut impl Write) -> Result<(), WireError> {
         if text.is_empty() && !self.is_inside_batch() {
             return Ok(());
@@ -78,7 +79,7 @@
         Ok(())
     }
 
-    /// Makes a list known once it is complete.
+    /// Stores a complete list in `lists`, and an incomplete one in `partial_list` until its next `ROW` line.
     fn store_list(&mut self, list: PartialList) {
         if list.missing_rows == 0 {
             self.lists.insert(list.table, list.endpoints.into());
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Takes in an event of an instance.
+    /// Handles the line of an event that concerns one instance.
     fn handle_event(&mut self, line: &Line<'_>) -> Result<(), WireError> {
         let id = line.int("gatewayId")?;
         match line.name {
@@ -106,7 +107,7 @@
     }
 
     fn halt(&mut self, id: u64) -> Result<(), WireError> {
-        // The process that got this batch's earlier events is gone, so they are not answered.
+        // The halted process can't respond to the events that it received earlier in this batch.
         self.pending.remove(&id);
         *self.instances.get_mut(&id).ok_or(WireError::UnknownInstance(id))? = None;
         Ok(())
@@ -120,7 +121,7 @@
         Ok(())
     }
 
-    /// Hands each instance its events, in the order of their ids, and writes what they answer.
+    /// Passes the batch's events to the instances, in ascending order of ids, and writes their actions.
     fn end_batch(&mut self, now: Micros, output: &mut impl Write) -> Result<(), WireError> {
         for (id, events) in std::mem::take(&mut self.pending) {
             let Some(Some(instance)) = self.instances.get_mut(&id) else { continue };
--- a/src/bin/sedgestack-simhost/main.rs
+++ b/src/bin/sedgestack-simhost/main.rs
@@ -1,5 +1,5 @@
-//! `sedgestack-simhost`: hosts one `Limiter` per instance and speaks the simulator's line protocol on
-//! standard input and output. Translates only.
+//! `sedgestack-simhost`: runs one `Limiter` for each instance of the simulator and speaks the simulator's line protocol
+//! on standard input and output. It only translates between lines and events or actions.
 
 mod host;
 mod wire;
@@ -10,13 +10,13 @@
 use host::Host;
 use wire::WireError;
 
-/// An error, and the number of the input's line that it was met at.
+/// An error and the number of the input line that caused it, counted from 1.
 struct LineError {
     line: usize,
     error: WireError,
 }
 
-/// Serves batches until the input ends.
+/// Handles batches until the end of the input.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), LineError> {
     let mut host = Host::default();
     let mut line = 0;
--- a/src/bin/sedgestack-simhost/wire/actions.rs
+++ b/src/bin/sedgestack-simhost/wire/actions.rs
@@ -1,4 +1,4 @@
-//! Writes actions as the simulator's lines.
+//! Encodes actions as lines of the simulator's protocol.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
     time as f64 / 1000.0
 }
 
-/// Appends an action's line to a reply.
+/// Appends the line of an action of instance `id` to a reply.
 pub fn write_action(out: &mut String, id: u64, action: &Action) {
     let written = match action {
         Action::StartAttempt { request, backend, timeout, .. } => {
--- a/src/bin/sedgestack-simhost/wire/error.rs
+++ b/src/bin/sedgestack-simhost/wire/error.rs
@@ -1,22 +1,22 @@
-//! What can be wrong with the simulator's input.
+//! Errors in the simulator's input.
 
 use std::io;
 
 use sedgestack::platform::{LoadReportError, SettingError};
 use sedgestack::SettingsError;
 
-/// What is wrong with a line.
+/// Why a line can't be read or handled, or a reply not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     #[error("cannot read: {0}")]
     Read(io::Error),
     #[error("cannot write: {0}")]
     Write(io::Error),
-    #[error("no message name")]
+    #[error("the line has no message name")]
     NoMessageName,
     #[error("unknown message {0}")]
     UnknownMessage(String),
-    #[error("'{0}' is not name=value")]
+    #[error("expected name=value, found '{0}'")]
     NotAField(String),
     #[error("{message} lacks {key}")]
     MissingField { message: String, key: String },
@@ -26,7 +26,7 @@
     OutOfRange { key: String, value: u64 },
     #[error("{key}={value} is not a finite number")]
     NotFinite { key: String, value: String },
-    #[error("{key} is not a time")]
+    #[error("{key} is not a valid time in milliseconds")]
     NotATime { key: String },
     #[error("{key}={value} is neither 0 nor 1")]
     NotAFlag { key: String, value: String },
@@ -48,7 +48,7 @@
     MalformedBytes(base64::DecodeError),
     #[error("instance {0} never came up")]
     UnknownInstance(u64),
-    #[error("no ROSTER {0} yet")]
+    #[error("ROSTER {0} was not sent")]
     UnknownEndpointList(u64),
     #[error("{missing} ROW line(s) of the ROSTER are missing")]
     MissingRows { missing: u64 },
--- a/src/bin/sedgestack-simhost/wire/events.rs
+++ b/src/bin/sedgestack-simhost/wire/events.rs
@@ -1,4 +1,4 @@
-//! Reads the simulator's lines as settings, endpoints and events.
+//! Decodes lines of the simulator's protocol to settings, endpoints and events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 
 use super::{Line, WireError};
 
-/// The endpoint lists that `ROSTER` lines gave, by number.
+/// The endpoint lists that `ROSTER` lines began, by the number in their field `table`.
 pub type EndpointLists = BTreeMap<u64, Arc<[Endpoint]>>;
 
-/// Reads the settings of a `PROVISION` line.
+/// Decodes the settings of a `PROVISION` line, and the index of the names in them.
 pub fn settings(line: &Line<'_>) -> Result<(Settings, NameIndex), WireError> {
     let document: Document =
         serde_json::from_str(line.text("settings")?).map_err(WireError::MalformedSettings)?;
@@ -20,7 +20,7 @@
     Ok((settings, names))
 }
 
-/// Reads a `ROW` line of an endpoint list.
+/// Decodes a `ROW` line of an endpoint list.
 pub fn endpoint(line: &Line<'_>) -> Result<Endpoint, WireError> {
     let state = match line.text("status")? {
         "in_service" => BackendState::InService,
@@ -38,7 +38,7 @@
     })
 }
 
-/// Reads an event line other than `PROVISION` and `HALT`.
+/// Decodes a line of any event other than `PROVISION` and `HALT`.
 pub fn event(line: &Line<'_>, names: &NameIndex, lists: &EndpointLists) -> Result<Event, WireError> {
     match line.name {
         "DISCOVERY" => discovery(line, lists),
@@ -78,7 +78,7 @@
     }))
 }
 
-/// The index in the settings of the name that a field holds.
+/// Returns the index in the settings of the name that field `key` holds.
 fn index_of(
     line: &Line<'_>,
     key: &'static str,
@@ -135,7 +135,8 @@
     }))
 }
 
-/// The share of its quota that a customer has used. The wire counts it in percent and adds 1; 0 is for none metered.
+/// The share of its quota that a customer has used. The field `used` holds it in percent plus 1; 0 means that nothing
+/// was metered.
 fn metered_usage(line: &Line<'_>) -> Result<Option<f64>, WireError> {
     Ok(match line.optional("used", Line::int, 0)? {
         0 => None,
--- a/src/bin/sedgestack-simhost/wire/line.rs
+++ b/src/bin/sedgestack-simhost/wire/line.rs
@@ -1,14 +1,14 @@
-//! A line of the simulator: a message's name and its fields.
+//! A line of the simulator's protocol: the message name, and fields of the form `key=value`.
 
 use sedgestack::platform::micros;
 use sedgestack::Micros;
 
 use super::WireError;
 
-/// This field is text and runs to the end of the line.
+/// The field whose value may contain spaces: it extends to the end of the line.
 const SETTINGS_KEY: &str = "settings";
 
-/// A line's name and fields, in order.
+/// A parsed line: the message name, and the fields in their order.
 pub struct Line<'a> {
     pub name: &'a str,
     fields: Vec<Field<'a>>,
@@ -20,7 +20,7 @@
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line into its name and fields.
+    /// Parses a line.
     pub fn parse(text: &'a str) -> Result<Self, WireError> {
         let (name, mut remaining) = text.split_once(' ').unwrap_or((text, ""));
         if name.is_empty() {
@@ -40,43 +40,43 @@
         Ok(Line { name, fields })
     }
 
-    /// The value of a field, if the line has it.
+    /// Returns a field's value, or `None` if the line lacks the field.
     pub fn get(&self, key: &str) -> Option<&'a str> {
         self.fields.iter().find(|field| field.key == key).map(|field| field.value)
     }
 
-    /// The value of a field that the line must have.
+    /// Returns the value of a required field.
     pub fn text(&self, key: &str) -> Result<&'a str, WireError> {
         let missing = || WireError::MissingField { message: self.name.to_string(), key: key.to_string() };
         self.get(key).ok_or_else(missing)
     }
 
-    /// A whole number.
+    /// Returns a required field as a whole number.
     pub fn int(&self, key: &str) -> Result<u64, WireError> {
         let value = self.text(key)?;
         let error = |_| WireError::NotAnInteger { key: key.to_string(), value: value.to_string() };
         value.parse().map_err(error)
     }
 
-    /// A whole number of 32 bits.
+    /// Returns a required field as a whole number of 32 bits.
     pub fn int32(&self, key: &str) -> Result<u32, WireError> {
         let value = self.int(key)?;
         u32::try_from(value).map_err(|_| WireError::OutOfRange { key: key.to_string(), value })
     }
 
-    /// A finite number.
+    /// Returns a required field as a finite number.
     pub fn number(&self, key: &str) -> Result<f64, WireError> {
         let value = self.text(key)?;
         let number = value.parse().ok().filter(|number: &f64| number.is_finite());
         number.ok_or_else(|| WireError::NotFinite { key: key.to_string(), value: value.to_string() })
     }
 
-    /// A time in milliseconds.
+    /// Returns a required field that holds a time in milliseconds.
     pub fn time(&self, key: &str) -> Result<Micros, WireError> {
         micros(self.number(key)?).ok_or_else(|| WireError::NotATime { key: key.to_string() })
     }
 
-    /// What `read` makes of a field, or `default` where the line lacks it.
+    /// Reads an optional field with `read`; returns `default` if the line lacks it.
     pub fn optional<T>(
         &self,
         key: &str,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A field that is 1, or that is 0 or lacking.
+    /// Returns whether an optional field is 1; it may otherwise be 0 or missing.
     pub fn flag(&self, key: &str) -> Result<bool, WireError> {
         match self.get(key) {
             None | Some("0") => Ok(false),
--- a/src/bin/sedgestack-simhost/wire/mod.rs
+++ b/src/bin/sedgestack-simhost/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's line protocol: lines to events and settings, actions to lines.
+//! The simulator's line protocol: decodes lines to settings and events, and encodes actions as lines.
 
 mod actions;
 mod error;
