--- a/crates/kit/src/bounds.rs
+++ b/crates/kit/src/bounds.rs
@@ -27,6 +27,7 @@
 
 The bound holds for quota leases (docs/design/0005-leases-of-quota.md), which limiters do not use yet. Exit status:
 0 the bound was computed and any target is kept, 1 no share keeps the target, 2 bad input.")]
+/// Arguments of `sedgestack-kit bound`.
 pub struct Arguments {
     /// The fleet file
     fleet: PathBuf,
@@ -105,6 +106,7 @@
     }))
 }
 
+/// Returns the terms of a plan's leases.
 fn terms(arguments: &Arguments, plan: &Plan) -> Terms {
     Terms {
         rate: plan.rate,
--- a/crates/kit/src/campaign.rs
+++ b/crates/kit/src/campaign.rs
@@ -31,6 +31,7 @@
 at that time, and the outcome of every change was reported. A failing timeline is reduced to the fewest steps that
 still fail, which are printed as a timeline for `rehearse --faults`.
 Exit status: 0 all timelines passed, 1 one failed, 2 bad input or no daemon.")]
+/// Arguments of `sedgestack-kit campaign`.
 pub struct Arguments {
     /// The fleet file
     fleet: PathBuf,
@@ -80,6 +81,7 @@
 }
 
 impl Totals {
+    /// Adds the result of one timeline.
     fn add(&mut self, played: &Played) {
         self.answers += played.found.answers;
         self.changes_begun += played.begun;
@@ -159,7 +161,7 @@
         results
     }
 
-    /// Plays one seed; prints a summary at once if it fails.
+    /// Plays the timeline of one seed; prints a summary at once if it fails.
     fn play(&self, seed: u64) -> SeedResult {
         let result = self.play_setup(seed).run(&draw(seed, self.arguments.limiters));
         if let Some(broken) = result.as_ref().ok().filter(|played| !played.holds()) {
@@ -178,6 +180,7 @@
         Ok(steps.iter().map(Step::to_string).collect::<Vec<_>>().join("\n"))
     }
 
+    /// Returns the fleet, the tier and the seed with which a timeline of `seed` is played.
     fn play_setup(&self, seed: u64) -> Play<'_> {
         let limiters = self.arguments.limiters;
         Play { fleet: &self.fleet, daemon: self.daemon.clone(), limiters, seed }
@@ -189,7 +192,8 @@
         "{}",
         json!({"seeds": seeds, "limiters": arguments.limiters, "answers": totals.answers,
                "begun": totals.changes_begun, "made": totals.versions_activated, "ruins": totals.harmful_changes,
-               "ruins_ended": totals.harmful_changes_undone, "largest_mixing_us": totals.largest_mixing_us, "failed": failed})
+               "ruins_ended": totals.harmful_changes_undone, "largest_mixing_us": totals.largest_mixing_us,
+               "failed": failed})
     );
 }
 
--- a/crates/kit/src/captures.rs
+++ b/crates/kit/src/captures.rs
@@ -25,12 +25,13 @@
   sedgestack-kit capture check captures/*.sedgecap
   sedgestack-kit capture merge n0.sedgecap n1.sedgecap n2.sedgecap --out day.sedgecap
   sedgestack-kit capture draw deploy/fleet-sample.hcl --scenario calm --out captures")]
+/// Subcommands of `sedgestack-kit capture`.
 pub enum Command {
     /// Summarizes a capture
     Show {
         /// The capture file
         file: PathBuf,
-        /// Number of records to print, from the first on
+        /// Number of records to print, starting with the first
         #[arg(long, default_value_t = 0, value_name = "N")]
         records: usize,
     },
@@ -75,7 +76,7 @@
     }
 }
 
-/// Whether a capture is undamaged, and a message that describes it.
+/// Whether a capture is undamaged, and the message to print about it.
 struct CheckResult {
     whole: bool,
     message: String,
@@ -106,7 +107,7 @@
         if format == Format::Json {
             println!("{}", json!({"file": file.display().to_string(), "whole": whole, "what": message}));
         } else if read.is_err() {
-            // The error names the file.
+            // The error message already names the file.
             println!("{message}");
         } else {
             println!("{}: {message}", file.display());
@@ -115,6 +116,7 @@
     Verdict::from_bool(all_whole)
 }
 
+/// Writes a capture to a new file; fails if the file exists.
 fn write(path: &Path, header: &Header, records: &[Record], destinations: &[String]) -> Result<(), KitError> {
     let error = KitError::file(path);
     let file = File::options().write(true).create_new(true).open(path).map_err(&error)?;
--- a/crates/kit/src/error.rs
+++ b/crates/kit/src/error.rs
@@ -90,7 +90,7 @@
     /// The connection, the request or the response failed.
     #[error("{address}: {source}")]
     Transport {
-        /// The limiter's operations address.
+        /// The limiter's address for operators.
         address: SocketAddr,
         /// The HTTP client's error, boxed because it is far larger than the other variants.
         source: Box<ureq::Error>,
@@ -98,7 +98,7 @@
     /// The limiter responded with a status other than 200.
     #[error("{address}: {status} {message}")]
     Status {
-        /// The limiter's operations address.
+        /// The limiter's address for operators.
         address: SocketAddr,
         /// The HTTP status.
         status: u16,
@@ -108,7 +108,7 @@
     /// The limiter's response is not JSON.
     #[error("{address}: the response is not JSON: {source}")]
     NotJson {
-        /// The limiter's operations address.
+        /// The limiter's address for operators.
         address: SocketAddr,
         /// The parser's error.
         source: serde_json::Error,
@@ -130,7 +130,7 @@
     /// The limiter still has its votes.
     #[error("{address}: still has its votes, version {version}")]
     HasVotes {
-        /// The limiter's operations address.
+        /// The limiter's address for operators.
         address: SocketAddr,
         /// The limiter's active version, from its response.
         version: Value,
@@ -138,7 +138,7 @@
     /// The number of addresses given differs from the number of limiters in the tier.
     #[error("{address}: the tier has {members} limiters, but {named} were named")]
     WrongCount {
-        /// The limiter's operations address.
+        /// The limiter's address for operators.
         address: SocketAddr,
         /// The number of limiters in the tier, from the response.
         members: Value,
--- a/crates/kit/src/plan.rs
+++ b/crates/kit/src/plan.rs
@@ -19,6 +19,7 @@
 
 Without --capture, the load is the one that the fleet file describes. Exit status: 0 a number of workers within the
 fleet file's range meets the aims, 1 none does, 2 bad input.")]
+/// Arguments of `sedgestack-kit plan`.
 pub struct Arguments {
     /// The fleet file
     fleet: PathBuf,
--- a/crates/kit/src/prove.rs
+++ b/crates/kit/src/prove.rs
@@ -30,6 +30,7 @@
 Each scenario is predicted by the model and rehearsed with the same demand, one scenario after another. Exit status:
 0 all predictions of the value served in time lie within 10% of the rehearsal, 1 one does not, 2 bad input, 3 a
 rehearsal was void.")]
+/// Arguments of `sedgestack-kit prove`.
 pub struct Arguments {
     /// The fleet file
     fleet: PathBuf,
@@ -69,6 +70,7 @@
 }
 
 impl Proof<'_> {
+    /// Returns the share of the value that was served in time in the rehearsal.
     fn rehearsed_share(&self) -> f64 {
         self.rehearsed.score.overall.share()
     }
--- a/crates/kit/src/rehearse.rs
+++ b/crates/kit/src/rehearse.rs
@@ -30,6 +30,7 @@
 Needs the daemon, built by `cargo build --release`: in the folder of this program, or given by --daemon. All sockets
 are on loopback. Exit status: 0 the rehearsal is valid and any timeline of faults passed, 1 the timeline failed, 2 bad
 input or no daemon, 3 void: the machine was too busy to play the load.")]
+/// Arguments of `sedgestack-kit rehearse`.
 pub struct Arguments {
     /// The fleet file
     fleet: PathBuf,
--- a/crates/kit/src/tier.rs
+++ b/crates/kit/src/tier.rs
@@ -1,4 +1,4 @@
-//! The subcommands of `sedgestack-kit config` that call the limiters of a running tier at their operations addresses.
+//! Subcommands of `sedgestack-kit config` that call the limiters of a running tier at their addresses for operators.
 
 mod adopt;
 mod change;
@@ -19,7 +19,7 @@
 /// The limiters of a tier to call.
 #[derive(Args)]
 pub struct TierAddresses {
-    /// Operations addresses of limiters, such as 10.0.0.4:9901; changes go to the first that responds
+    /// Operators' addresses of limiters, such as 10.0.0.4:9901; changes go to the first that responds
     #[arg(long, value_name = "ADDRESS", num_args = 1.., required = true)]
     at: Vec<SocketAddr>,
 }
--- a/crates/kit/src/tier/change.rs
+++ b/crates/kit/src/tier/change.rs
@@ -28,6 +28,7 @@
 }
 
 #[derive(Args)]
+/// Arguments of `sedgestack-kit config commit`.
 pub struct Commit {
     /// The document that becomes the next version
     file: PathBuf,
@@ -47,6 +48,7 @@
     begin_only: bool,
 }
 
+/// Parses a limiter's number, with or without the prefix `n`.
 fn limiter_number(text: &str) -> Result<u32, LimiterNumberError> {
     let digits = text.strip_prefix('n').unwrap_or(text);
     digits.parse().map_err(|_| LimiterNumberError(text.to_string()))
@@ -58,6 +60,7 @@
     answer: Value,
 }
 
+/// Has the first limiter that responds check and store a document.
 fn stage_document(file: &Path, at: &TierAddresses) -> Result<Staged, KitError> {
     let text = std::fs::read_to_string(file).map_err(KitError::file(file))?;
     let address = at.first_answering()?;
@@ -161,6 +164,7 @@
         }
     }
 
+    /// Prints the change's outcome and returns `verdict`.
     fn finish(&self, verdict: Verdict, outcome: &str, unanswered: &Value) -> Verdict {
         let version = &self.answer["version"];
         match self.format {
--- a/crates/kit/src/tier/client.rs
+++ b/crates/kit/src/tier/client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to a limiter's operations address.
+//! HTTP calls to a limiter's address for operators.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -33,6 +33,7 @@
     format!("http://{address}/admin/{path}")
 }
 
+/// Parses the JSON body of a response with status 200; any other response is an error.
 fn decode(address: SocketAddr, answer: Result<Response<Body>, ureq::Error>) -> Result<Value, TierError> {
     let transport = |source| TierError::Transport { address, source: Box::new(source) };
     let mut answer = answer.map_err(transport)?;
--- a/crates/kit/src/tier/status.rs
+++ b/crates/kit/src/tier/status.rs
@@ -1,4 +1,4 @@
-//! `sedgestack-kit config status|history`: prints the active version of each limiter, and the versions decided.
+//! `sedgestack-kit config status|history`: prints each limiter's active version, or the versions that were decided.
 
 use serde_json::{json, Value};
 
@@ -93,7 +93,7 @@
     [pin, &state].into_iter().filter(|part| !part.is_empty()).collect::<Vec<_>>().join(", ")
 }
 
-/// Prints the versions decided, the latest last, from the history of the first limiter that responds.
+/// Prints the versions that were decided, the latest last, from the history of the first limiter that responds.
 pub fn history(at: &TierAddresses, format: Format) -> Result<Verdict, KitError> {
     let state = client::get(at.first_answering()?, client::RULES)?;
     if format == Format::Json {
--- a/crates/kit/src/versions.rs
+++ b/crates/kit/src/versions.rs
@@ -32,6 +32,7 @@
 
 Exit status of status: 0 all named limiters are current and have the same version, 1 otherwise. Exit status of commit,
 undo, hold and pin: 0 the change was made and is active, 1 it was not.")]
+/// Subcommands of `sedgestack-kit config`.
 pub enum Command {
     /// Checks a version against the one before it; exit status 1 if the change is not allowed
     Check(Check),
@@ -78,6 +79,7 @@
 }
 
 #[derive(Args)]
+/// Arguments of `sedgestack-kit config check`.
 pub struct Check {
     /// The version to check
     next: PathBuf,
--- a/crates/kit/tests/limiter/mod.rs
+++ b/crates/kit/tests/limiter/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a limiter's operations address that gives prepared responses and records its requests.
+//! A stand-in for a limiter's address for operators, which gives prepared responses and records its requests.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/src/bin/sedgestack-simhost/host.rs
+++ b/src/bin/sedgestack-simhost/host.rs
@@ -32,12 +32,12 @@
     batch_time: Option<Micros>,
     /// Events of the open batch by instance, in order of arrival.
     pending: BTreeMap<u64, Vec<Event>>,
-    /// The open batch's reply, reused to save allocations.
+    /// The reply to the open batch, written when the batch ends.
     reply: String,
 }
 
 impl Host {
-    /// Whether a batch has begun but not ended.
+    /// Returns whether a batch has begun but not ended.
     pub fn is_inside_batch(&self) -> bool {
         self.batch_time.is_some()
     }
@@ -63,12 +63,14 @@
         Ok(())
     }
 
+    /// Handles a `ROSTER` line, which begins an endpoint list.
     fn begin_list(&mut self, line: &Line<'_>) -> Result<(), WireError> {
         let (table, missing_rows) = (line.int("table")?, line.int("members")?);
         self.store_list(PartialList { table, missing_rows, endpoints: Vec::new() });
         Ok(())
     }
 
+    /// Handles the line after an incomplete list, which must be the list's next `ROW`.
     fn continue_list(&mut self, mut list: PartialList, line: &Line<'_>) -> Result<(), WireError> {
         if line.name != "ROW" {
             return Err(WireError::MissingRows { missing: list.missing_rows });
@@ -98,6 +100,7 @@
         }
     }
 
+    /// Starts an instance; one with the same id is replaced.
     fn provision(&mut self, id: u64, line: &Line<'_>) -> Result<(), WireError> {
         self.pending.remove(&id);
         let (settings, names) = wire::settings(line)?;
@@ -106,6 +109,7 @@
         Ok(())
     }
 
+    /// Stops an instance and drops its pending events.
     fn halt(&mut self, id: u64) -> Result<(), WireError> {
         // The halted process can't respond to the events that it received earlier in this batch.
         self.pending.remove(&id);
@@ -113,6 +117,7 @@
         Ok(())
     }
 
+    /// Queues an event until the end of the batch; events for halted instances are dropped.
     fn queue_event(&mut self, id: u64, line: &Line<'_>) -> Result<(), WireError> {
         let instance = self.instances.get(&id).ok_or(WireError::UnknownInstance(id))?;
         let Some(instance) = instance else { return Ok(()) };
--- a/src/bin/sedgestack-simhost/wire/error.rs
+++ b/src/bin/sedgestack-simhost/wire/error.rs
@@ -5,7 +5,7 @@
 use sedgestack::platform::{LoadReportError, SettingError};
 use sedgestack::SettingsError;
 
-/// Why a line can't be read or handled, or a reply not be written.
+/// Why a line can't be read or handled, or why a reply can't be written.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     #[error("cannot read: {0}")]
