--- a/deploy/fleet-sample.hcl
+++ b/deploy/fleet-sample.hcl
@@ -1,5 +1,5 @@
-# A fleet like a university's report service in the last days of a term: three rooms, ten workers, three
-# limiters, four plans. Every key is explained in docs/operate/fleet-file.md.
+# Sample fleet, modelled on a university's report service in the last days of a term: three rooms, ten workers, three
+# limiters and four plans. All keys are described in docs/operate/fleet-file.md.
 name = "sample"
 pod_size = 4
 
--- a/deploy/rehearsals/bad-change-stays.hcl
+++ b/deploy/rehearsals/bad-change-stays.hcl
@@ -1,4 +1,5 @@
-# The change of bad-change.hcl at a tier that does not watch its changes: what half a minute of it costs.
+# Makes the harmful change of bad-change.hcl without canary analysis, so that it stays active. Shows what 30 s under it
+# cost.
 step "ruin" {
   at   = 0
   undo = false
--- a/deploy/rehearsals/bad-change.hcl
+++ b/deploy/rehearsals/bad-change.hcl
@@ -1,4 +1,5 @@
-# A change ruins a plan; the tier undoes it by itself. Beside it: bad-change-stays.hcl.
+# Makes a harmful change to a plan, which the tier rolls back automatically. See bad-change-stays.hcl for the cost of
+# the same change without a rollback.
 step "ruin" {
   at   = 0
   undo = true
--- a/deploy/rehearsals/one-down.hcl
+++ b/deploy/rehearsals/one-down.hcl
@@ -1,4 +1,4 @@
-# A quota is changed while one limiter is down; it comes back under load and must not serve under the old one.
+# Changes a quota while one limiter is down. The limiter restarts under load and must not serve under the old quota.
 step "kill" {
   limiter = 4
 }
--- a/deploy/rehearsals/proposer-dies.hcl
+++ b/deploy/rehearsals/proposer-dies.hcl
@@ -1,4 +1,5 @@
-# The limiter that begins a change dies as it sends its first accept; the others finish or void it.
+# Kills the limiter that proposes a change when it sends its first accept message. The others complete the change or
+# decide that it is void.
 step "kill" {
   limiter = 0
   from    = 0
--- a/deploy/rehearsals/split-and-bad-weather.hcl
+++ b/deploy/rehearsals/split-and-bad-weather.hcl
@@ -1,4 +1,5 @@
-# The operator's side of a split is the smaller one, and three in ten datagrams are lost throughout.
+# An operator makes a change on the minority side of a network partition, then one on the majority side. Throughout, 30%
+# of all datagrams are lost.
 step "weather" {
   loss   = 0.3
   double = 0.1
