--- a/crates/canary/src/lib.rs
+++ b/crates/canary/src/lib.rs
@@ -3,7 +3,7 @@
 //! The plans that a change touches are compared with all other plans, the control group. Shifts of traffic, crashing
 //! backends and a lost quota counter affect both groups alike, while a bad change affects only the touched plans. The
 //! test statistic is therefore a difference in differences (Card and Krueger, 1994): how much more the share of
-//! attempts served in time dropped in the touched plans than in the control group. Seconds are the observations.
+//! attempts served in time dropped in the touched plans than in the control group. Each second is one observation.
 //!
 //! The change is evaluated once a second. The configured false alarm rate is divided evenly among the evaluations
 //! (Bonferroni correction), and a drop below a configured minimum never causes a rollback. Neither does an improvement
@@ -19,9 +19,9 @@
 
 /// Minimum length of the baseline in seconds, below which the variation between seconds cannot be estimated.
 const MIN_BASELINE_S: u32 = 10;
-/// Minimum time before the first evaluation in seconds, below which the variation between them cannot be estimated.
+/// Minimum time before the first evaluation in seconds, below which the variation between seconds cannot be estimated.
 const MIN_FIRST_EVALUATION_S: u32 = 3;
-/// Maximum false alarm rate, above which a rollback would mean nothing.
+/// Maximum false alarm rate, above which a rollback would be no evidence that the change is harmful.
 const MAX_FALSE_ALARM_RATE: f64 = 0.5;
 /// Minimum number of attempts from which a share is estimated.
 const MIN_ATTEMPTS: f64 = 10.0;
@@ -76,7 +76,7 @@
     /// Validates the settings.
     ///
     /// # Errors
-    /// Names the first invalid setting.
+    /// Returns an error that names the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.baseline_s < MIN_BASELINE_S {
             return Err(SettingsError::Baseline);
@@ -147,7 +147,7 @@
     /// Starts the analysis of a change that has just become active.
     ///
     /// # Errors
-    /// If the settings are invalid.
+    /// Returns an error if the settings are invalid.
     pub fn new(settings: Settings) -> Result<CanaryAnalysis, SettingsError> {
         settings.check()?;
         Ok(CanaryAnalysis { settings, last_evaluated_s: 0, verdict: Verdict::Goes })
@@ -190,9 +190,9 @@
         (drop >= self.settings.min_drop && drop > threshold).then_some(drop)
     }
 
-    /// Returns the drop that is exceeded by chance with the probability that one evaluation may use up of the false
-    /// alarm rate. With few seconds their variation is uncertain, so this uses Student's t-distribution with degrees of
-    /// freedom by Welch (1947).
+    /// Returns the threshold above which a drop is significant. In one evaluation, chance alone exceeds it with a
+    /// probability of the false alarm rate divided by the number of evaluations. Uses Student's t-distribution with
+    /// degrees of freedom by Welch (1947), because a variance that is estimated from few seconds is uncertain.
     fn significance_threshold(&self, estimates: &[ShareEstimate]) -> Option<f64> {
         let variance: f64 = estimates.iter().map(|e| e.variance).sum();
         let weighted: f64 = estimates.iter().map(|e| e.variance * e.variance / e.degrees_of_freedom).sum();
@@ -213,8 +213,8 @@
 }
 
 /// Estimates the share served in time by a ratio estimator over seconds; `None` if there are too few attempts or
-/// seconds. Seconds are the observations, because the attempts of one second are correlated, as by a customer's burst
-/// or a backend's stall.
+/// seconds. The observations are seconds, not attempts, because the attempts of one second are correlated, for example
+/// by a customer's burst or a backend's stall.
 fn estimate_share(seconds: &[Second], group: impl Fn(&Second) -> OutcomeCount) -> Option<ShareEstimate> {
     let counts: Vec<(f64, f64)> =
         seconds.iter().map(group).map(|c| (f64::from(c.attempts), f64::from(c.in_time))).collect();
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A [`Replica`] represents one limiter in the consensus group. The caller passes it the time, received datagrams and
 //! operators' requests; the replica returns the datagrams to send and reports which version is active. It does no I/O
-//! and reads no clock, and the same calls always give the same results. Its guarantees and their reasons are described
-//! in `docs/design/0002-configuration-transactions.md`.
+//! and reads no clock, and the same calls always give the same results. Its guarantees, and the reasons for them, are
+//! described in `docs/design/0002-configuration-transactions.md`.
 //!
 //! Each version is one slot, and slots are decided in order, each by single-decree Paxos ([`Ballot`], [`Value`]).
 //! The modules are:
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! The fleet description: what a limiter fleet and the systems behind it look like, as HCL.
+//! The fleet description: an HCL file that describes a fleet of limiters and the systems behind it.
 //!
-//! [`Fleet::read`] decodes and checks a file once into plain values; everything that models, plans or rehearses
-//! starts from them. [`platform`] turns a fleet into the platform's own configuration, for real daemons.
-//! The keys, their units and ranges stand in `docs/operate/fleet-file.md`.
+//! [`Fleet::read`] decodes and checks a file. The model, the planner and rehearsals all start from the resulting
+//! [`Fleet`]. [`platform`] converts a fleet to the platform's own configuration format, for real daemons.
+//! The keys are described in `docs/operate/fleet-file.md`, with their units and ranges.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -21,31 +21,31 @@
 pub use sedgestack_hcl::{ConfigError, Micros};
 pub use workload::{Class, Clients, Growth, GrowthBy, Idempotency, KeyScope, Load, Plan, Surge};
 
-/// What the planner is to keep.
+/// Objectives of the planner, and the range in which it searches.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objectives {
-    /// Share of a class's answers inside quotas that must come within its latency objective, by class; 0 for none.
+    /// Minimum share of answers inside quotas that must be within the latency objective, by class; 0 for no minimum.
     pub in_time: Vec<f64>,
-    /// Least and most backends, over all zones, that may be considered.
+    /// Minimum and maximum number of backends to consider, over all zones.
     pub backends: (u32, u32),
-    /// Runs behind every figure.
+    /// Number of runs, each with its own seed, from which every figure is estimated.
     pub seeds: u32,
-    /// The share of backends of the standard sudden loss.
+    /// Share of all backends that fail at once in the standard sudden loss.
     pub sudden_loss: f64,
 }
 
-/// A whole description.
+/// A fleet: its limiters, the systems behind them, and its load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     /// The fleet's name.
     pub name: String,
-    /// Its zones.
+    /// The fleet's zones.
     pub zones: Vec<Zone>,
     /// Delays of the network.
     pub delays: Delays,
     /// The kinds of backends.
     pub backend_kinds: Vec<BackendKind>,
-    /// Backends of one pod.
+    /// Maximum number of backends in one pod.
     pub pod_size: u32,
     /// The request classes.
     pub classes: Vec<Class>,
@@ -53,26 +53,26 @@
     pub plans: Vec<Plan>,
     /// The quota counter.
     pub counter: Counter,
-    /// What each limiter has and costs.
+    /// Resources of each limiter, and the CPU time that a request costs it.
     pub limiter: Limiter,
-    /// How long service discovery takes.
+    /// Delays of service discovery.
     pub discovery: Discovery,
     /// The rules of the platform.
     pub rules: PlatformRules,
-    /// The described load.
+    /// The load that clients offer.
     pub load: Load,
-    /// What clients do of themselves.
+    /// How clients retry and abandon requests.
     pub clients: Clients,
-    /// Stretches in which a class grows.
+    /// Temporary increases in the load of a class.
     pub surges: Vec<Surge>,
-    /// How load is to grow.
+    /// The growth of load to plan for; `None` if the file does not describe it.
     pub growth: Option<Growth>,
-    /// What the planner is to keep.
+    /// Objectives of the planner.
     pub objectives: Objectives,
 }
 
 impl Fleet {
-    /// The fleet under a version of its runtime configuration.
+    /// Returns the fleet under a version of its runtime configuration.
     pub fn with_rules(&self, rules: &sedgestack_runtime_config::Document) -> Fleet {
         let mut fleet = self.clone();
         for plan in &mut fleet.plans {
@@ -89,39 +89,39 @@
         fleet
     }
 
-    /// Reads and checks a file.
+    /// Reads, decodes and checks a file.
     ///
     /// # Errors
-    /// Names file, line, column and key at fault, and what was expected there.
+    /// Returns an error that names the file, line, column and key, and what was expected there.
     pub fn read(path: &Path) -> Result<Fleet, ConfigError> {
         decode::decode_fleet(&Document::read(path)?)
     }
 
-    /// Checks a text; `file` is named in errors.
+    /// Decodes and checks `text`. `file` is the name that error messages show for it.
     ///
     /// # Errors
-    /// As [`Fleet::read`].
+    /// Returns the same errors as [`Fleet::read`].
     pub fn parse(file: &str, text: &str) -> Result<Fleet, ConfigError> {
         decode::decode_fleet(&Document::parse(file, text)?)
     }
 
-    /// How many backends there are.
+    /// Returns the number of backends in all zones.
     pub fn backend_count(&self) -> u32 {
         self.zones.iter().flat_map(|zone| &zone.backends).sum()
     }
 
-    /// How many limiters there are.
+    /// Returns the number of limiters in all zones.
     pub fn limiter_count(&self) -> u32 {
         self.zones.iter().map(|zone| zone.limiters).sum()
     }
 
-    /// The index of each limiter's zone, by the limiter's number.
+    /// Returns the index of each limiter's zone, by the limiter's number.
     pub fn limiter_zones(&self) -> Vec<usize> {
         let zones = self.zones.iter().enumerate();
         zones.flat_map(|(index, zone)| std::iter::repeat_n(index, zone.limiters as usize)).collect()
     }
 
-    /// Every backend's location. Pods lie within a zone; the last one of a zone may be smaller.
+    /// Returns the location of each backend. Pods do not span zones; the last pod of a zone may be smaller.
     pub fn backend_locations(&self) -> Vec<BackendLocation> {
         let mut locations = Vec::new();
         let mut pod = 0;
@@ -141,7 +141,8 @@
         locations
     }
 
-    /// The same fleet with `total` limiters, spread over the zones as evenly as they go, the first zones first.
+    /// Returns the fleet with `total` limiters, spread evenly over the zones. Any remainder goes to the first zones,
+    /// one limiter each.
     pub fn with_limiters(mut self, total: u32) -> Fleet {
         let zones = self.zones.len() as u32;
         for (index, zone) in self.zones.iter_mut().enumerate() {
@@ -150,8 +151,9 @@
         self
     }
 
-    /// The same fleet with `total` backends of the first kind's mix: zones are filled evenly, those that have
-    /// the most today first. Other kinds keep their part of a zone as nearly as whole backends allow.
+    /// Returns the fleet with `total` backends, spread evenly over the zones. Any remainder goes to the zones that have
+    /// the most backends now, one backend each. Within a zone, each kind but the first keeps its fraction of the
+    /// backends, rounded down to whole backends, and the rest is of the first kind.
     pub fn with_backends(&self, total: u32) -> Fleet {
         let mut fleet = self.clone();
         let zones = self.zones.len() as u32;
@@ -171,7 +173,7 @@
         fleet
     }
 
-    /// Core-seconds of work that the whole fleet does in a second once it has warmed up.
+    /// Returns the core-seconds of work that all backends together do in a second, once they have warmed up.
     pub fn capacity(&self) -> f64 {
         let of_zone = |zone: &Zone| -> f64 {
             let kinds = zone.backends.iter().zip(&self.backend_kinds);
@@ -180,12 +182,12 @@
         self.zones.iter().map(of_zone).sum()
     }
 
-    /// The index of a class by its name.
+    /// Returns the index of the class with this name.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// The index of a plan by its name.
+    /// Returns the index of the plan with this name.
     pub fn plan_index(&self, name: &str) -> Option<usize> {
         self.plans.iter().position(|plan| plan.name == name)
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
-//! A discrete-event model of what a limiter fleet serves: clients with retries, the network, backends, service
-//! discovery, the quota counter, and one real decision module ([`sedgestack::Limiter`]) for each limiter.
+//! A discrete-event model of a limiter fleet and its surroundings: clients with retries, the network, backends, service
+//! discovery and the quota counter. Each limiter runs the real decision logic ([`sedgestack::Limiter`]).
 //!
-//! It does no I/O and reads no clock. The same scenario and seed give the same run, to the byte, on any number
-//! of threads: [`RunOutcome::digest`] shows it. Times are whole microseconds from the beginning of a run.
+//! The model does no I/O and reads no clock. The same scenario and seed give exactly the same run, on any number of
+//! threads; [`RunOutcome::digest`] identifies the run. Times are whole microseconds from the beginning of a run.
 //!
 //! ```
 //! # let text = include_str!("../../../deploy/fleet-sample.hcl");
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,7 +1,9 @@
-//! The capacity planner: load (captured, or as a fleet file describes it) and a fleet in; the least backends that
-//! keep the objectives, what breaks first as load grows, and what losses cost out, each with an interval.
+//! The capacity planner. For a fleet and a load, either captured or described by the fleet file, it finds the minimum
+//! number of backends that meets the objectives, what breaks first as the load grows, and what losses cost. Each figure
+//! has a confidence interval.
 //!
-//! It does no I/O. Seeds run in parallel and are gathered in their order, so the same input gives the same plan.
+//! The planner does no I/O. It runs seeds in parallel and collects their results in order, so the same input always
+//! gives the same plan.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -38,76 +40,79 @@
 pub use source::Source;
 pub use synth::synthesize;
 
-/// Beneath this mean use of the backends' cores a load is that of a quiet day.
+/// Mean utilization of the backends' cores below which the load is considered that of a quiet day.
 pub const QUIET_USE: f64 = 0.6;
 
-/// Whether a busiest-day count can be stated.
+/// The number of backends needed on the busiest day, if it can be stated.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum BusiestDay {
-    /// The load planned for is the observed one, grown.
+    /// The planned load is the observed load times a growth factor.
     Stated {
-        /// How many times the observed load is planned for.
+        /// Factor from the observed load to the planned load.
         growth: f64,
-        /// How uncertain that factor is, as a share of it.
+        /// Uncertainty of the factor, as a share of the factor.
         uncertainty: f64,
-        /// Part of the planned load that was observed; the rest rests on the growth block.
+        /// Share of the planned load that was observed; the rest is assumed in the growth block of the fleet file.
         seen_part: f64,
-        /// Least backends at the low end of the uncertainty; `None` where no count in range does.
+        /// Minimum number of backends at the low end of the uncertainty; `None` if no number in range meets the
+        /// objectives.
         least_low: Option<u32>,
-        /// The same at the high end.
+        /// Minimum number of backends at the high end of the uncertainty; `None` if no number in range meets the
+        /// objectives.
         least_high: Option<u32>,
     },
-    /// Nothing says how busy the busiest day is.
+    /// Neither the load nor the fleet file shows how busy the busiest day is.
     Refused {
-        /// What is missing, in a sentence.
+        /// What is missing, as a sentence for people.
         why: String,
     },
 }
 
-/// The planner's whole answer.
+/// The results of the planner.
 #[derive(Clone, Debug, Serialize)]
 pub struct Plan {
     /// The fleet's name.
     pub fleet: String,
-    /// The fleet's backends.
+    /// The fleet's current number of backends.
     #[serde(rename = "workers_today")]
     pub backends_today: u32,
-    /// Runs behind every figure.
+    /// Number of runs, each with its own seed, from which every figure is estimated.
     pub seeds: u32,
-    /// The load that the plan rests on.
+    /// The load on which the plan is based.
     pub load: ObservedLoad,
-    /// How far the model explains the captured load.
+    /// How well the model reproduces the captured load; `None` without a capture.
     pub fit: Option<Fit>,
-    /// What bounds the answer, in sentences.
+    /// Limitations of the results, as sentences for people.
     pub warnings: Vec<String>,
-    /// Whether a count for the busiest day can be stated.
+    /// The number of backends needed on the busiest day, if it can be stated.
     pub busiest_day: BusiestDay,
-    /// The fleet as it is, under the load planned for.
+    /// The current fleet under the planned load.
     pub today: Evaluation,
-    /// The least backends that keep the objectives.
+    /// The minimum number of backends that meets the objectives.
     pub least: MinimumBackends,
-    /// What breaks as load grows.
+    /// What breaks as the load grows.
     pub breaks: Sweep,
     /// What losses cost.
     pub losses: Vec<Loss>,
-    /// Value served in time, as a share of the value asked for, gained by one backend more than the least.
+    /// Value served in time that one backend more than the minimum gains, as a share of the requested value; `None` if
+    /// no number in range meets the objectives.
     pub one_more: Option<Interval>,
-    /// What follows, in sentences.
+    /// Conclusions from the figures, as sentences for people.
     pub conclusions: Vec<String>,
 }
 
 impl Plan {
-    /// Whether a count in range meets the objectives.
+    /// Whether any number of backends in range meets the objectives.
     pub fn meets_aims(&self) -> bool {
         self.least.backends.is_some()
     }
 }
 
-/// A step of the work, for a progress display: what is done, and the part of the whole that is behind.
+/// Callback for a progress display. Its arguments are the step that begins, and the completed fraction of all work.
 pub type Progress<'a> = &'a (dyn Fn(&str, f64) + Sync);
 
-/// Plans for a fleet under a load. `seeds` runs back every figure.
+/// Plans the capacity of a fleet under a load. Every figure is estimated from `seeds` runs.
 pub fn plan(fleet: &Fleet, source: &Source, seeds: u32, progress: Progress<'_>) -> Plan {
     let growth = fleet.growth.as_ref();
     let factor = growth.map_or(1.0, |growth| growth.load);
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -87,7 +87,7 @@
     /// Validates the terms; `call` is the maximum duration of a call to the counter.
     ///
     /// # Errors
-    /// Names the first invalid value.
+    /// Returns an error that names the first invalid value.
     pub fn check(&self, call: Micros) -> Result<(), LeaseTermsError> {
         let is_positive = |value: f64| value.is_finite() && value > 0.0;
         if !is_positive(self.rate) || !is_positive(self.burst) {
--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -1,9 +1,10 @@
-//! Rehearsals: real daemons between stand-ins, on loopback, under a load whose results are scored.
+//! Rehearsals: real daemons run on loopback between stand-ins, under a load whose results are scored.
 //!
-//! The stand-ins for backends and for the quota counter step the model's state machines in real time, the stand-in for
-//! discovery speaks the platform's protocol, and the load player sends the same demand that the model plays. What is
-//! drawn comes from the seed; what real sockets and timers add is the point of a rehearsal. The player measures its own
-//! lateness: a machine too busy to play the load makes a rehearsal void, never failed.
+//! The stand-ins for backends and for the quota counter run the model's state machines in real time. The stand-in for
+//! discovery speaks the platform's protocol, and the load player sends the same demand that the model plays. All random
+//! values come from the seed. A rehearsal differs from the model by the effects of real sockets and timers, which it
+//! exists to show. The load player measures how late it sends: if the machine is too busy to play the load on time, the
+//! rehearsal is void, not failed.
 #![forbid(unsafe_code)]
 
 mod backends;
@@ -35,35 +36,36 @@
 use fault_player::FaultPlayer;
 use request_log::RequestLog;
 
-/// A player whose sends are later than this in one case of a hundred could not play the load.
+/// Maximum lateness of the load player in milliseconds, as the 99th percentile over all requests. Above it, the
+/// rehearsal is void.
 const VOID_LATENESS_MS: f64 = 50.0;
-/// The load begins so long after all daemons are ready.
+/// Time from when all daemons are ready until the load begins.
 const LEAD: Duration = Duration::from_millis(500);
 
-/// What is rehearsed.
+/// Parameters of a rehearsal.
 pub struct Rehearsal<'a> {
     /// The deployment: its limiters, backends, classes and plans.
     pub fleet: &'a Fleet,
-    /// The requests that the load player sends, each with its time.
+    /// The requests that the load player sends, with their times.
     pub demand: &'a Demand,
-    /// What goes wrong, with times counted from the beginning of the load.
+    /// The faults to play, with times from the beginning of the load.
     pub faults: &'a [Fault],
-    /// Determines everything random in the stand-ins and the load player.
+    /// Seed of all random values in the stand-ins and the load player.
     pub seed: u64,
-    /// The daemon's binary.
+    /// Path of the daemon's binary.
     pub daemon: PathBuf,
     /// Which daemons record a capture, and where; `None` for no captures.
     pub captures: Option<Captures>,
-    /// Called about once a second with the part of the load that has been sent, 0 to 1.
+    /// Called about once a second with the fraction of the load that has been sent, from 0 to 1.
     pub progress: &'a (dyn Fn(f64) + Sync),
 }
 
-/// Captures that daemons are to leave.
+/// Captures that the daemons record.
 #[derive(Clone, Debug)]
 pub struct Captures {
-    /// The folder; each daemon's is named by its number, as `n0.sedgecap`.
+    /// Directory of the captures. Each file is named by its daemon's number, for example `n0.sedgecap`.
     pub folder: PathBuf,
-    /// The daemons that capture, by number; all of them where this is empty.
+    /// Numbers of the daemons that record a capture; all daemons do if this is empty.
     pub only: Vec<u32>,
 }
 
@@ -77,51 +79,51 @@
 /// Resources that a daemon used.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DaemonUse {
-    /// Identifies the daemon in reports.
+    /// Name of the daemon in reports.
     pub name: String,
-    /// CPU time used after it had become ready, seconds.
+    /// CPU time in seconds that the daemon used after it had become ready.
     pub cpu_s: f64,
-    /// Peak resident memory, MB.
+    /// Peak resident memory in MB.
     pub peak_mb: f64,
-    /// Requests it accepted, by its own counters.
+    /// Number of requests that the daemon accepted, by its own counters.
     pub taken: u64,
-    /// Microseconds of CPU for each of them.
+    /// CPU time per accepted request, in microseconds.
     pub cpu_us_per_request: f64,
 }
 
-/// How a rehearsal went.
+/// Result of a rehearsal.
 #[derive(Clone, Debug)]
 pub struct Rehearsed {
-    /// What the answers were worth, scored as in the model.
+    /// Score of the answers, computed as in the model.
     pub score: Score,
     /// The resources that each daemon used.
     pub daemons: Vec<DaemonUse>,
-    /// How late the player sent, milliseconds: 99 of 100 sends were no later.
+    /// Lateness of the load player in milliseconds, as the 99th percentile over all requests.
     pub lateness_ms: f64,
-    /// Requests in the demand, each counted once however often it was tried.
+    /// Number of requests in the demand. Retries are not counted.
     pub first_tries: u64,
-    /// Second tries by clients whose first try was not served.
+    /// Number of retries by clients whose first try was not served.
     pub retries: u64,
-    /// Tries that ended with the complete expected response.
+    /// Number of tries that ended with the complete expected response.
     pub served: u64,
-    /// Tries that ended with a 429 or 503.
+    /// Number of tries that ended with status 429 or 503.
     pub refused: u64,
-    /// Tries that ended with a connection error or any other response.
+    /// Number of tries that ended with a connection error or any other response.
     pub failed: u64,
-    /// Tries that the client abandoned at its timeout.
+    /// Number of tries that the client abandoned at its timeout.
     pub gave_up: u64,
-    /// Backends that crashed under load while they were warming up.
+    /// Number of times that a backend crashed under load while it was warming up.
     pub fallen: u64,
 }
 
 impl Rehearsed {
-    /// Whether the machine was too busy for the figures to mean anything.
+    /// Whether the machine was too busy to play the load on time, so that the figures are meaningless.
     pub fn is_void(&self) -> bool {
         self.lateness_ms > VOID_LATENESS_MS
     }
 }
 
-/// Why a rehearsal could not be held.
+/// Reason why a rehearsal could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     /// An operation on a socket, file or process failed.
@@ -140,13 +142,13 @@
         /// Lines from its log, joined by ` | `.
         log: String,
     },
-    /// A daemon was ended by SIGKILL during startup, as by a scheduled kill.
+    /// A daemon was ended by SIGKILL during startup, for example by a scheduled kill.
     #[error("{name} was killed before it was ready")]
     Killed {
         /// The daemon that was killed.
         name: String,
     },
-    /// A daemon that was to record a capture ended without one.
+    /// A daemon that had to record a capture ended without one.
     #[error("{name} left no capture; its log: {log}")]
     NoCapture {
         /// The daemon whose capture is missing.
@@ -154,17 +156,17 @@
         /// Lines from its log, joined by ` | `.
         log: String,
     },
-    /// A daemon still runs but did not become ready in time.
+    /// A daemon is still running but did not become ready in time.
     #[error("{name} was not ready within {seconds} s; its log: {log}")]
     NotReady {
-        /// The daemon that was waited for.
+        /// The daemon that did not become ready.
         name: String,
-        /// How long it was waited for, seconds.
+        /// How long the rehearsal waited for the daemon, in seconds.
         seconds: u64,
         /// Lines from its log, joined by ` | `.
         log: String,
     },
-    /// A fault, described by the text, that only the model can play.
+    /// The faults include one that only the model can play; the text describes it.
     #[error(
         "{0} can't be rehearsed on loopback yet: a limiter's or a silent machine's loss needs the model"
     )]
@@ -176,10 +178,10 @@
     move |why| Failure::Io { what, why }
 }
 
-/// Holds a rehearsal, on a runtime of its own.
+/// Runs a rehearsal on a Tokio runtime of its own.
 ///
 /// # Errors
-/// Where a socket, file or daemon can't be had, or a fault can't be played here.
+/// Returns an error if a socket, file or daemon fails, or if the faults include one that only the model can play.
 pub fn hold(rehearsal: &Rehearsal<'_>) -> Result<Rehearsed, Failure> {
     for fault in rehearsal.faults {
         match fault {
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,7 +1,8 @@
-//! Plans for people: tables on a terminal ([`text`]) and one self-contained HTML page ([`html`]) with SVG plots.
+//! Reports of the capacity planner: tables on a terminal ([`text`]), and a self-contained HTML page ([`html`]) with SVG
+//! plots.
 //!
-//! Both show what a [`Plan`](sedgestack_plan::Plan) holds and decide nothing. The page needs no network and no
-//! script, and prints on paper.
+//! Both only present the contents of a [`Plan`](sedgestack_plan::Plan). The page needs neither network nor scripts and
+//! can be printed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -3,6 +3,7 @@
 //! [`Store::save`] is atomic, and durable when it returns: after a crash the file has either the previous value or the
 //! new one. A file that can't be used is never overwritten: [`Store::open`] renames it, reports why, and creates a new
 //! file.
+//!
 //! The value is stored with its format and a checksum, so that files of newer releases and of other programs are
 //! detected.
 #![forbid(unsafe_code)]
@@ -82,7 +83,8 @@
     Ok(ReadFile { file, value })
 }
 
-/// Like [`read`], but returns an error if redb panics: it takes some states of a truncated file to be impossible.
+/// Like [`read`], but returns an error if redb panics, as it does on some truncated files, whose state
+/// it assumes to be impossible.
 fn read_catching_panics(path: &Path) -> Result<ReadFile, ReadError> {
     std::panic::catch_unwind(|| read(path))
         .unwrap_or_else(|_| Err(ReadError::corrupt("its pages do not match its length or each other")))
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! Decision logic of a rate limiter that holds each customer of shared backends to its plan.
 //!
-//! sedgestack does no I/O. A [`Limiter`] is given events ([`Event`]) with their times and returns actions
+//! This crate does no I/O. A [`Limiter`] is given events ([`Event`]) with their times and returns actions
 //! ([`Action`]); the program that embeds it provides sockets, clocks and threads. The same events always
-//! lead to the same actions. Limiters need no consensus: each enforces the rules by itself, and they share
-//! only a quota counter, if there is one. [`platform`] reads settings in the format of the platform.
+//! lead to the same actions. Decisions need no consensus among limiters: each limiter enforces the rules on
+//! its own, and the only component that they share is the quota counter, if the platform has one. [`platform`]
+//! reads settings in the platform's configuration format.
 //!
 //! ```
 //! use sedgestack::*;
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -1,4 +1,4 @@
-//! Startup of the limiter on sockets: creates the actors and connects them.
+//! Startup of the limiter's daemon: creates the actors and connects them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
 /// Capacity of the mailboxes for operators' calls.
 const CONTROL_MAILBOX: usize = 16;
 
-/// Reason why the limiter could not start, or stopped serving.
+/// Reason why the limiter could not start, or why it stopped serving.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     #[error("{0}")]
@@ -72,7 +72,7 @@
 /// Starts all actors and serves until the process must exit.
 ///
 /// # Errors
-/// Returns an error that names what could not start, or which part ended early.
+/// Returns an error that names the component that could not start or that ended early.
 pub async fn run(
     config: Config,
     tier: Option<TierSettings>,
@@ -149,8 +149,8 @@
 
 /// Settings of a limiter that belongs to a tier.
 struct Tier {
-    /// What the configuration file sets for the values that documents may change.
     settings: TierSettings,
+    /// The configuration file's values for what documents may change.
     configured: ConfiguredRules,
 }
 
@@ -169,7 +169,7 @@
     outcomes: mpsc::Receiver<SecondOutcomes>,
 }
 
-/// Waits until the process that this one replaces has released its addresses, if the settings set a wait.
+/// Waits until the process that this one replaces has released its addresses, if a handover wait is configured.
 async fn wait_for_predecessor(config: &Config, tier: Option<&TierSettings>) {
     if let Some(tier) = tier.filter(|tier| tier.handover_wait > 0) {
         let deadline = Instant::now() + config::to_duration(tier.handover_wait);
@@ -225,7 +225,7 @@
     let (Some(address), true) = (config.peer_listen, config.settings.peer_messages) else {
         return Ok(None);
     };
-    // Consensus requires that only one process holds the address: two processes with the same number would be one
+    // With consensus, only one process may hold the address: two processes with the same limiter number would be one
     // replica that votes twice.
     let is_shared = replica_datagrams.is_none();
     let (peers, own) = (config.peers.clone(), config.settings.limiter);
@@ -248,7 +248,7 @@
     (recorder, second_outcomes)
 }
 
-/// Starts to watch discovery. The endpoints from the configuration are the first change.
+/// Starts the discovery watch. The first change that it reports has the endpoints from the configuration.
 fn start_discovery(
     config: &Config,
     addresses: watch::Receiver<Addresses>,
@@ -287,7 +287,7 @@
     Ok(calls)
 }
 
-/// Starts to serve the operators' address, and to watch the file of cordons, which another process may change.
+/// Starts the server for operators' calls, and watches the cordon file, which other processes may change.
 fn start_admin(
     listener: TcpListener,
     config: &Config,
@@ -305,14 +305,16 @@
     tokio::spawn(admin::serve(listener, admin));
 }
 
-/// A running capture: the control actor's handle to it, and the thread that writes the file.
+/// A running capture.
 pub struct Capture {
+    /// The control actor's handle to the capture.
     pub recorder: CaptureRecorder,
+    /// The thread that writes the file.
     pub thread: JoinHandle<()>,
 }
 
-/// Starts the capture that the settings ask for. A capture that can't start is logged and skipped, so that it does
-/// not keep the limiter from serving.
+/// Starts the capture, if the settings configure one. If it can't start, this is logged and the limiter serves without
+/// a capture.
 pub fn start_capture(settings: &Settings, config: &Config) -> Option<Capture> {
     let capture = settings.capture.as_ref()?;
     let started = Clock::start().now();
