--- a/src/startup.rs
+++ b/src/startup.rs
@@ -47,24 +47,34 @@
 /// Reason why the limiter could not start, or why it stopped serving.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
+    /// The Tokio runtime could not be built.
     #[error("{0}")]
     Runtime(#[source] io::Error),
+    /// The signal handlers could not be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
+    /// The decision logic rejected the settings.
     #[error("configuration: {0}")]
     Configuration(#[from] SettingsError),
+    /// The address for operators' calls could not be bound.
     #[error(transparent)]
     AdminListen(#[from] admin::BindError),
+    /// The address for datagrams between limiters could not be bound.
     #[error("peer_listen: {address}: {source}")]
     PeerListen { address: SocketAddr, source: io::Error },
+    /// The endpoints from the configuration did not fit into the mailbox for endpoint changes.
     #[error("the mailbox for endpoint changes is full")]
     EndpointMailbox,
+    /// The consensus on versions of the runtime configuration could not start.
     #[error(transparent)]
     Consensus(#[from] ConsensusStartError),
+    /// The listener for clients failed.
     #[error("listen: {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
+    /// The control actor ended before the process had to exit.
     #[error("the control actor ended: {0:?}")]
     ControlActor(Result<(), JoinError>),
+    /// The thread that writes the capture panicked.
     #[error("the capture thread ended with a panic")]
     CaptureThread,
 }
@@ -237,7 +247,7 @@
     Ok(Some(datagrams))
 }
 
-/// Returns the recorder of outcomes, if the tier has canary analysis, and the receiver of the counts that it reports.
+/// Returns the recorder of outcomes (`None` without canary analysis) and the receiver of the counts that it reports.
 fn outcome_recorder(
     config: &Config,
     tier: Option<&Tier>,
