--- a/src/startup.rs
+++ b/src/startup.rs
@@ -1,4 +1,4 @@
-//! Startup of the limiter on sockets: creates the actors and connects them.
+//! Startup of the limiter's daemon: creates the actors and connects them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -44,27 +44,37 @@
 /// Capacity of the mailboxes for operators' calls.
 const CONTROL_MAILBOX: usize = 16;
 
-/// Reason why the limiter could not start, or stopped serving.
+/// Reason why the limiter could not start, or why it stopped serving.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
+    /// The Tokio runtime could not be built.
     #[error("{0}")]
     Runtime(#[source] io::Error),
+    /// The signal handlers could not be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
+    /// The decision logic rejected the settings.
     #[error("configuration: {0}")]
     Configuration(#[from] SettingsError),
+    /// The address for operators' calls could not be bound.
     #[error(transparent)]
     AdminListen(#[from] admin::BindError),
+    /// The address for datagrams between limiters could not be bound.
     #[error("peer_listen: {address}: {source}")]
     PeerListen { address: SocketAddr, source: io::Error },
+    /// The endpoints from the configuration did not fit into the mailbox for endpoint changes.
     #[error("the mailbox for endpoint changes is full")]
     EndpointMailbox,
+    /// The consensus on versions of the runtime configuration could not start.
     #[error(transparent)]
     Consensus(#[from] ConsensusStartError),
+    /// The listener for clients failed.
     #[error("listen: {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
+    /// The control actor ended before the process had to exit.
     #[error("the control actor ended: {0:?}")]
     ControlActor(Result<(), JoinError>),
+    /// The thread that writes the capture panicked.
     #[error("the capture thread ended with a panic")]
     CaptureThread,
 }
@@ -72,7 +82,7 @@
 /// Starts all actors and serves until the process must exit.
 ///
 /// # Errors
-/// Returns an error that names what could not start, or which part ended early.
+/// Returns an error that names the component that could not start or that ended early.
 pub async fn run(
     config: Config,
     tier: Option<TierSettings>,
@@ -149,8 +159,8 @@
 
 /// Settings of a limiter that belongs to a tier.
 struct Tier {
-    /// What the configuration file sets for the values that documents may change.
     settings: TierSettings,
+    /// The configuration file's values for what documents may change.
     configured: ConfiguredRules,
 }
 
@@ -169,7 +179,7 @@
     outcomes: mpsc::Receiver<SecondOutcomes>,
 }
 
-/// Waits until the process that this one replaces has released its addresses, if the settings set a wait.
+/// Waits until the process that this one replaces has released its addresses, if a handover wait is configured.
 async fn wait_for_predecessor(config: &Config, tier: Option<&TierSettings>) {
     if let Some(tier) = tier.filter(|tier| tier.handover_wait > 0) {
         let deadline = Instant::now() + config::to_duration(tier.handover_wait);
@@ -225,7 +235,7 @@
     let (Some(address), true) = (config.peer_listen, config.settings.peer_messages) else {
         return Ok(None);
     };
-    // Consensus requires that only one process holds the address: two processes with the same number would be one
+    // With consensus, only one process may hold the address: two processes with the same limiter number would be one
     // replica that votes twice.
     let is_shared = replica_datagrams.is_none();
     let (peers, own) = (config.peers.clone(), config.settings.limiter);
@@ -237,7 +247,7 @@
     Ok(Some(datagrams))
 }
 
-/// Returns the recorder of outcomes, if the tier has canary analysis, and the receiver of the counts that it reports.
+/// Returns the recorder of outcomes (`None` without canary analysis) and the receiver of the counts that it reports.
 fn outcome_recorder(
     config: &Config,
     tier: Option<&Tier>,
@@ -248,7 +258,7 @@
     (recorder, second_outcomes)
 }
 
-/// Starts to watch discovery. The endpoints from the configuration are the first change.
+/// Starts the discovery watch. The first change that it reports has the endpoints from the configuration.
 fn start_discovery(
     config: &Config,
     addresses: watch::Receiver<Addresses>,
@@ -287,7 +297,7 @@
     Ok(calls)
 }
 
-/// Starts to serve the operators' address, and to watch the file of cordons, which another process may change.
+/// Starts the server for operators' calls, and watches the cordon file, which other processes may change.
 fn start_admin(
     listener: TcpListener,
     config: &Config,
@@ -305,14 +315,16 @@
     tokio::spawn(admin::serve(listener, admin));
 }
 
-/// A running capture: the control actor's handle to it, and the thread that writes the file.
+/// A running capture.
 pub struct Capture {
+    /// The control actor's handle to the capture.
     pub recorder: CaptureRecorder,
+    /// The thread that writes the file.
     pub thread: JoinHandle<()>,
 }
 
-/// Starts the capture that the settings ask for. A capture that can't start is logged and skipped, so that it does
-/// not keep the limiter from serving.
+/// Starts the capture, if the settings configure one. If it can't start, this is logged and the limiter serves without
+/// a capture.
 pub fn start_capture(settings: &Settings, config: &Config) -> Option<Capture> {
     let capture = settings.capture.as_ref()?;
     let started = Clock::start().now();
