--- a/crates/kit/src/campaign.rs
+++ b/crates/kit/src/campaign.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use sedgestack_fleet::Fleet;
-use sedgestack_rehearse::tier::timeline::{draw, Play, Played, Step};
+use sedgestack_rehearse::tier::timeline::{draw, PlayResult, PlaySetup, Step};
 use sedgestack_rehearse::Failure;
 
 use crate::error::{KitError, SeedError};
@@ -58,14 +58,14 @@
 /// The result of playing the timeline of one seed.
 struct SeedResult {
     seed: u64,
-    result: Result<Played, Failure>,
+    result: Result<PlayResult, Failure>,
 }
 
 /// A seed whose timeline violated an invariant, and the shortest timeline that still does.
 #[derive(Serialize)]
 struct FailedSeed<'a> {
     seed: u64,
-    played: &'a Played,
+    played: &'a PlayResult,
     timeline: String,
 }
 
@@ -82,7 +82,7 @@
 
 impl Totals {
     /// Adds the result of one timeline.
-    fn add(&mut self, played: &Played) {
+    fn add(&mut self, played: &PlayResult) {
         self.answers += played.found.answers;
         self.changes_begun += played.begun;
         self.versions_activated += played.made;
@@ -175,15 +175,15 @@
     fn shortest_timeline(&self, seed: u64) -> Result<String, KitError> {
         let mut steps = draw(seed, self.arguments.limiters);
         if !self.arguments.whole {
-            steps = self.play_setup(seed).cut_down(steps)?;
+            steps = self.play_setup(seed).minimize(steps)?;
         }
         Ok(steps.iter().map(Step::to_string).collect::<Vec<_>>().join("\n"))
     }
 
     /// Returns the fleet, the tier and the seed with which a timeline of `seed` is played.
-    fn play_setup(&self, seed: u64) -> Play<'_> {
+    fn play_setup(&self, seed: u64) -> PlaySetup<'_> {
         let limiters = self.arguments.limiters;
-        Play { fleet: &self.fleet, daemon: self.daemon.clone(), limiters, seed }
+        PlaySetup { fleet: &self.fleet, daemon: self.daemon.clone(), limiters, seed }
     }
 }
 
--- a/crates/kit/src/timeline.rs
+++ b/crates/kit/src/timeline.rs
@@ -5,7 +5,7 @@
 
 use serde_json::json;
 
-use sedgestack_rehearse::tier::timeline::{read, Play, Played};
+use sedgestack_rehearse::tier::timeline::{read, PlayResult, PlaySetup};
 
 use crate::error::KitError;
 use crate::input::read_fleet;
@@ -33,7 +33,7 @@
     let TimelineRun { limiters, seed, daemon, .. } = timeline;
     let fleet = read_fleet(timeline.fleet)?;
     let steps = read(timeline.faults, limiters)?;
-    let play = Play { fleet: &fleet, daemon, limiters, seed };
+    let play = PlaySetup { fleet: &fleet, daemon, limiters, seed };
     let played = play.run(&steps)?;
     match format {
         Format::Json => println!(
@@ -50,7 +50,7 @@
 }
 
 /// Summarizes a played timeline in one line.
-pub fn summary(played: &Played) -> String {
+pub fn summary(played: &PlayResult) -> String {
     let found = &played.found;
     let holds = if played.holds() { "held" } else { "BROKEN" };
     let harmful_change = harmful_change_summary(played);
@@ -70,7 +70,7 @@
 }
 
 /// Describes what a harmful change cost, if the timeline made one.
-fn harmful_change_summary(played: &Played) -> String {
+fn harmful_change_summary(played: &PlayResult) -> String {
     let Some(cost) = &played.ruin else { return String::new() };
     let undone = match cost.undone_after_ms {
         Some(ms) => format!("undone after {:.1} s", ms as f64 / 1e3),
--- a/crates/rehearse/examples/tier_cost.rs
+++ b/crates/rehearse/examples/tier_cost.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use sedgestack_fleet::Fleet;
-use sedgestack_rehearse::tier::{Options, Tier, QUICK, WATCHED};
+use sedgestack_rehearse::tier::{Options, Tier, CANARY_SETTINGS, QUICK_SETTINGS};
 
 /// Number of limiters.
 const LIMITERS: u32 = 3;
@@ -24,10 +24,10 @@
     let text = include_str!("../../../deploy/fleet-sample.hcl");
     let fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample fleet is valid");
     println!("tier                  requests    us/request  peak memory MB");
-    let watched = format!("{QUICK}{WATCHED}");
+    let watched = format!("{QUICK_SETTINGS}{CANARY_SETTINGS}");
     for (name, settings, changes) in [
         ("off", "", false),
-        ("on, idle", QUICK, false),
+        ("on, idle", QUICK_SETTINGS, false),
         ("on, watching", &watched, false),
         ("on, changing", &watched, true),
     ] {
--- a/crates/rehearse/src/tier/mod.rs
+++ b/crates/rehearse/src/tier/mod.rs
@@ -39,7 +39,7 @@
 pub use load::PendingRequest;
 pub use network_conditions::{DatagramCounts, NetworkConditions};
 pub use observation::ResourceUse;
-pub use options::{Options, QUICK, WATCHED};
+pub use options::{Options, CANARY_SETTINGS, QUICK_SETTINGS};
 pub use service_links::Service;
 pub use trigger::Trigger;
 
--- a/crates/rehearse/src/tier/options.rs
+++ b/crates/rehearse/src/tier/options.rs
@@ -27,11 +27,12 @@
 
 /// Keys of a `tier` block with short timers. The clock differences and faults of rehearsals stay within what these
 /// settings state.
-pub const QUICK: &str = "round = \"100ms\"\n  lease = \"1s\"\n  skew = \"100ms\"\n  lead = \"3s\"\n  \
+pub const QUICK_SETTINGS: &str =
+    "round = \"100ms\"\n  lease = \"1s\"\n  skew = \"100ms\"\n  lead = \"3s\"\n  \
                          intake = 100\n  unknown = \"refuse\"\n  rehearsal = true\n";
 
-/// Settings of canary analysis for such tiers, to stand beside [`QUICK`].
-pub const WATCHED: &str =
+/// Settings of canary analysis for such tiers, to stand beside [`QUICK_SETTINGS`].
+pub const CANARY_SETTINGS: &str =
     "  watch {\n    before = \"10s\"\n    span = \"12s\"\n    first_look = \"3s\"\n  }\n";
 
 /// At the rate of the load each of so many customers asks for less than the smallest plan allows, and for more than a
@@ -41,13 +42,13 @@
 const DEFAULT_SEED: u64 = 7;
 
 impl Options {
-    /// A tier of [`QUICK`] settings and one backend that responds at once.
+    /// A tier of [`QUICK_SETTINGS`] settings and one backend that responds at once.
     pub fn quick(limiters: u32, daemon: PathBuf) -> Options {
         Options {
             limiters,
             seed: DEFAULT_SEED,
             daemon,
-            tier_block: QUICK.into(),
+            tier_block: QUICK_SETTINGS.into(),
             has_stores: true,
             clock_offsets_ms: Vec::new(),
             backends: 1,
--- a/crates/rehearse/src/tier/timeline/mod.rs
+++ b/crates/rehearse/src/tier/timeline/mod.rs
@@ -7,7 +7,7 @@
 
 pub use draw::draw;
 pub use hcl::read;
-pub use play::{Play, Played};
+pub use play::{PlayResult, PlaySetup};
 pub use step::Step;
 
 #[cfg(test)]
--- a/crates/rehearse/src/tier/timeline/play.rs
+++ b/crates/rehearse/src/tier/timeline/play.rs
@@ -10,7 +10,7 @@
 
 use super::step::Step;
 use crate::tier::invariants::{CheckReport, HarmfulChangeCost};
-use crate::tier::{NetworkConditions, Options, StoreState, Tier, Trigger, WATCHED};
+use crate::tier::{NetworkConditions, Options, StoreState, Tier, Trigger, CANARY_SETTINGS};
 use crate::Failure;
 
 /// The clocks' difference that the settings of played tiers state, microseconds.
@@ -24,7 +24,7 @@
 
 /// How a timeline went.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
+pub struct PlayResult {
     /// What the checker found in the record.
     pub found: CheckReport,
     /// Changes and undos that were begun.
@@ -41,7 +41,7 @@
     pub ruin: Option<HarmfulChangeCost>,
 }
 
-impl Played {
+impl PlayResult {
     /// Whether everything held.
     pub fn holds(&self) -> bool {
         self.found.broken.is_empty() && self.untold.is_empty() && self.stuck.is_empty()
@@ -49,7 +49,7 @@
 }
 
 /// What is played.
-pub struct Play<'a> {
+pub struct PlaySetup<'a> {
     /// The fleet file's contents; plans and classes of the load come from it.
     pub fleet: &'a Fleet,
     /// The daemon's binary.
@@ -60,12 +60,12 @@
     pub seed: u64,
 }
 
-impl Play<'_> {
+impl PlaySetup<'_> {
     /// Plays a timeline under load; then all faults are taken back, and the record is checked.
     ///
     /// # Errors
     /// Where a socket, a file or a daemon can't be had.
-    pub fn run(&self, steps: &[Step]) -> Result<Played, Failure> {
+    pub fn run(&self, steps: &[Step]) -> Result<PlayResult, Failure> {
         let tier = Tier::start(self.fleet, self.options(steps))?;
         tier.adopt();
         tier.start_load();
@@ -82,7 +82,7 @@
     fn options(&self, steps: &[Step]) -> Options {
         let mut options = Options { seed: self.seed, ..Options::quick(self.limiters, self.daemon.clone()) };
         if steps.iter().any(|step| matches!(step, Step::HarmfulChange { undo: true, .. })) {
-            options.tier_block += WATCHED;
+            options.tier_block += CANARY_SETTINGS;
         }
         options
     }
@@ -90,8 +90,8 @@
     /// The fewest steps of a failing timeline that still fail, dropping one at a time.
     ///
     /// # Errors
-    /// As [`Play::run`].
-    pub fn cut_down(&self, mut steps: Vec<Step>) -> Result<Vec<Step>, Failure> {
+    /// As [`PlaySetup::run`].
+    pub fn minimize(&self, mut steps: Vec<Step>) -> Result<Vec<Step>, Failure> {
         let mut n = 0;
         while n < steps.len() {
             let mut fewer = steps.clone();
@@ -122,7 +122,7 @@
 }
 
 impl<'a> Run<'a> {
-    fn new(play: &Play<'a>, tier: &'a Tier) -> Run<'a> {
+    fn new(play: &PlaySetup<'a>, tier: &'a Tier) -> Run<'a> {
         let plans = &play.fleet.plans;
         Run {
             tier,
@@ -252,7 +252,7 @@
         self.tier.all_limiters(|status| is_settled(status) && is_same_version(status, &first))
     }
 
-    fn finish(self, has_recovered: bool) -> Played {
+    fn finish(self, has_recovered: bool) -> PlayResult {
         let mut found = self.tier.check_invariants(BOUND_US);
         let ruin = match self.harmful_digest.as_deref() {
             Some(digest) => self.tier.harmful_change_cost(digest, HARMED_PLAN as u32),
@@ -265,7 +265,7 @@
         let untold = self.operators_without_outcome();
         let made = self.versions_made();
         let stuck = if has_recovered { Vec::new() } else { self.tier.diagnostics() };
-        Played { found, begun: self.begun, refused: self.rejected, made, untold, stuck, ruin }
+        PlayResult { found, begun: self.begun, refused: self.rejected, made, untold, stuck, ruin }
     }
 
     fn operators_without_outcome(&self) -> Vec<u32> {
--- a/tests/fleet_rules/canary.rs
+++ b/tests/fleet_rules/canary.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use sedgestack_rehearse::tier::{ChangeError, NetworkConditions, Options, StoreState, Tier, WATCHED};
+use sedgestack_rehearse::tier::{ChangeError, NetworkConditions, Options, StoreState, Tier, CANARY_SETTINGS};
 
 use super::harness::*;
 
 /// Starts a tier with canary analysis and load, and records some seconds as the baseline for a change.
 fn tier_with_canary(limiters: u32, customize: impl FnOnce(&mut Options)) -> Tier {
     let tier = start_tier_with(limiters, |o| {
-        o.tier_block += WATCHED;
+        o.tier_block += CANARY_SETTINGS;
         customize(o);
     });
     tier.adopt();
