--- a/crates/rehearse/src/tier/cluster.rs
+++ b/crates/rehearse/src/tier/cluster.rs
@@ -1,4 +1,4 @@
-//! Cluster control: the limiters' processes, their configurations, and how they are started, ended and replaced.
+//! Management of the limiters' processes: writes their configurations, and starts, stops and replaces them.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -19,36 +19,41 @@
 use crate::sync::locked;
 use crate::{daemons, io, Failure};
 
-/// What a limiter finds of its store as it starts again.
+/// The state of a limiter's store when the limiter is restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreState {
-    /// As the process before left it.
+    /// As the previous process left it.
     Intact,
-    /// Deleted, as on a replaced machine.
+    /// Deleted, as after a replacement of the machine.
     Missing,
-    /// Cut off in the middle, as by a full or failing disk.
+    /// Truncated, as by a full or failing disk.
     Truncated,
 }
 
-/// A limiter of the tier, over all its processes.
+/// A limiter of the tier. Its process can be replaced; the log covers all its processes.
 pub(super) struct LimiterProcess {
     number: u32,
     pub(super) listen: SocketAddr,
     pub(super) admin: SocketAddr,
+    /// Path of the platform's configuration file.
     config: PathBuf,
+    /// Path of the settings file.
     settings: PathBuf,
+    /// Path of the store.
     store: PathBuf,
+    /// Lines of standard error.
     log: Arc<Mutex<Vec<String>>>,
     child: Mutex<Option<Child>>,
     pub(super) pid: ProcessId,
 }
 
-/// The id of the process that runs at present, which a scheduled action can read when its trigger fires.
+/// The id of the current process. Clones share the id, so a scheduled action reads the id that is current when its
+/// trigger fires.
 #[derive(Clone, Default)]
 pub(super) struct ProcessId(Arc<AtomicI32>);
 
 impl ProcessId {
-    /// The raw id; 0 where there is no process.
+    /// Returns the raw id, or 0 if there is no process.
     pub(super) fn raw(&self) -> i32 {
         self.0.load(Relaxed)
     }
@@ -70,7 +75,7 @@
 }
 
 impl LimiterProcess {
-    /// A limiter whose files are in `folder`; nothing is written or started yet.
+    /// Creates a limiter whose files are in `folder`. Writes and starts nothing.
     pub(super) fn new(folder: &Path, number: u32, listen: SocketAddr, admin: SocketAddr) -> LimiterProcess {
         let file = |extension: &str| folder.join(format!("n{number}.{extension}"));
         LimiterProcess {
@@ -90,7 +95,7 @@
         format!("n{}", self.number)
     }
 
-    /// Writes the platform's configuration and the settings file.
+    /// Writes the platform's configuration file and the settings file.
     pub(super) fn write_configuration(
         &self,
         fleet: &Fleet,
@@ -115,7 +120,7 @@
         std::fs::write(&self.settings, self.settings_text(options)).map_err(io("settings"))
     }
 
-    /// The settings file: the `tier` block, or nothing for a limiter without consensus.
+    /// Returns the text of the settings file: the `tier` block, or nothing for a limiter without consensus.
     fn settings_text(&self, options: &Options) -> String {
         if options.tier_block.is_empty() {
             return String::new();
@@ -129,7 +134,7 @@
         format!("tier {{\n  {store}{}  clock_offset_ms = {offset_ms}\n}}\n", options.tier_block)
     }
 
-    /// Leaves of the store what a restart is to find.
+    /// Puts the store into the given state before a restart.
     fn prepare_store(&self, state: StoreState) -> Result<(), Failure> {
         match state {
             StoreState::Intact => Ok(()),
@@ -144,18 +149,18 @@
         }
     }
 
-    /// Why a process that should come up did not, as far as it has ended.
-    fn early_end(&self) -> Result<(), Failure> {
-        let (how, signal) = match locked(&self.child).as_mut().map(Child::try_wait) {
+    /// Returns an error if the process has exited, which it must not do before it is ready.
+    fn check_running(&self) -> Result<(), Failure> {
+        let (reason, signal) = match locked(&self.child).as_mut().map(Child::try_wait) {
             Some(Ok(None)) => return Ok(()),
             Some(Ok(Some(status))) => (status.to_string(), status.signal()),
             Some(Err(error)) => (error.to_string(), None),
-            None => ("gone".into(), None),
+            None => ("no process".into(), None),
         };
         if signal == Some(Signal::KILL.as_raw()) {
             return Err(Failure::Killed { name: self.name() });
         }
-        Err(Failure::DaemonEnded { name: self.name(), log: format!("{} | {how}", self.joined_log()) })
+        Err(Failure::DaemonEnded { name: self.name(), log: format!("{} | {reason}", self.joined_log()) })
     }
 
     fn joined_log(&self) -> String {
@@ -171,11 +176,11 @@
         command
     }
 
-    /// Starts a limiter's process and follows its log.
+    /// Starts a process of a limiter and collects its log.
     pub(super) fn spawn(&self, limiter: u32) -> Result<(), Failure> {
         let process = self.process(limiter);
         let mut child = self.command(limiter).spawn().map_err(io(self.daemon.display().to_string()))?;
-        let stderr = child.stderr.take().expect("it is piped");
+        let stderr = child.stderr.take().expect("standard error is piped");
         let log = process.log.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
@@ -187,12 +192,12 @@
         Ok(())
     }
 
-    /// Waits until a limiter responds at its admin address.
+    /// Waits until the health check at a limiter's admin endpoint succeeds.
     pub(super) fn wait_until_listening(&self, limiter: u32) -> Result<(), Failure> {
         let process = self.process(limiter);
         let deadline = Instant::now() + WAIT_LIMIT;
         while self.call(limiter, "GET", "health", "").is_none_or(|response| response.status != 200) {
-            process.early_end()?;
+            process.check_running()?;
             if Instant::now() > deadline {
                 return Err(Failure::NotReady {
                     name: process.name(),
@@ -205,30 +210,30 @@
         Ok(())
     }
 
-    /// A limiter's log so far, over all its processes.
+    /// Returns the lines that all processes of a limiter have logged.
     pub fn log(&self, limiter: u32) -> Vec<String> {
         locked(&self.process(limiter).log).clone()
     }
 
-    /// Whether a limiter's process has ended.
+    /// Whether a limiter's process has exited or does not exist.
     pub fn has_exited(&self, limiter: u32) -> bool {
         let mut child = locked(&self.process(limiter).child);
         child.as_mut().is_none_or(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
-    /// Kills a limiter's process outright.
+    /// Kills a limiter's process by SIGKILL and waits until it has exited.
     pub fn kill(&self, limiter: u32) {
         self.process(limiter).pid.signal(Signal::KILL);
         self.wait_for_exit(limiter);
     }
 
-    /// Ends a limiter's process by a graceful shutdown.
+    /// Shuts a limiter's process down gracefully by SIGTERM and waits until it has exited.
     pub fn terminate(&self, limiter: u32) {
         self.process(limiter).pid.signal(Signal::TERM);
         self.wait_for_exit(limiter);
     }
 
-    /// Waits until a process that was killed or told to shut down has ended.
+    /// Waits until a limiter's process, which was killed or told to shut down, has exited.
     pub(super) fn wait_for_exit(&self, limiter: u32) {
         let process = self.process(limiter);
         if let Some(mut child) = locked(&process.child).take() {
@@ -237,15 +242,15 @@
         process.pid.set(0);
     }
 
-    /// Tells a process to read its configuration again.
+    /// Makes a limiter's process reload its configuration, by SIGHUP.
     pub fn reload(&self, limiter: u32) {
         self.process(limiter).pid.signal(Signal::HUP);
     }
 
-    /// Starts a limiter again once its process has ended, with what is left of its store.
+    /// Waits until a limiter's process has exited, puts the store into the given state and starts a new process.
     ///
     /// # Errors
-    /// Where it does not come up.
+    /// If the new process does not become ready, or the store can't be changed.
     pub fn restart(&self, limiter: u32, store: StoreState) -> Result<(), Failure> {
         self.wait_for_exit(limiter);
         self.process(limiter).prepare_store(store)?;
@@ -253,10 +258,11 @@
         self.wait_until_listening(limiter)
     }
 
-    /// Starts a second process of a limiter that runs, and waits for its end: its exit code.
+    /// Starts a second process of a running limiter and waits until the second process exits. Returns its exit code, or
+    /// `None` if a signal ended it.
     ///
     /// # Errors
-    /// Where it can't be started.
+    /// If the process can't be started.
     pub fn start_second_process(&self, limiter: u32) -> Result<Option<i32>, Failure> {
         let child = self.command(limiter).spawn().map_err(io(self.daemon.display().to_string()))?;
         let output = child.wait_with_output().map_err(io("a second process"))?;
@@ -265,16 +271,17 @@
         Ok(output.status.code())
     }
 
-    /// Replaces a limiter's process: the next one is started beside it, and then it is told to shut down.
+    /// Replaces a limiter's process by a handover: starts the new process beside the old one, then tells the old one to
+    /// shut down.
     ///
     /// # Errors
-    /// Where the next one does not come up.
+    /// If the new process does not become ready.
     pub fn upgrade(&self, limiter: u32) -> Result<(), Failure> {
         let process = self.process(limiter);
         let old_child = locked(&process.child).take();
         let old_pid = process.pid.raw();
         self.spawn(limiter)?;
-        self.expect_eventually("the next process waits", || {
+        self.expect_eventually("the new process waits for the handover", || {
             self.log(limiter).iter().any(|line| line.contains("hand-over: waits"))
         });
         signal_process(old_pid, Signal::TERM);
--- a/crates/rehearse/src/tier/documents.rs
+++ b/crates/rehearse/src/tier/documents.rs
@@ -1,13 +1,15 @@
-//! Documents for changes: the runtime configuration that is active at a limiter, with one plan changed.
+//! Documents for changes: a limiter's active runtime configuration with one plan changed.
 
 use super::Tier;
 
-/// Quota of a plan that serves each of its customers one unit and then nothing.
+/// Rate of a plan after a harmful change, in units per second. Together with [`HARMFUL_BURST`], it lets each customer
+/// use one unit and practically nothing afterwards.
 const HARMFUL_RATE: f64 = 0.001;
+/// Burst of a plan after a harmful change, in units.
 const HARMFUL_BURST: f64 = 1.0;
 
 impl Tier {
-    /// The document for the next version at a limiter: another rate for a plan.
+    /// Returns a document for the next version at a limiter, with another rate for one plan.
     pub fn document_with_rate(&self, limiter: u32, plan: &str, rate: f64) -> String {
         let status = self.status(limiter).unwrap_or_default();
         let text = status["text"].as_str().unwrap_or_default();
@@ -21,13 +23,13 @@
         )
     }
 
-    /// The document for the next version at a limiter: a plan that serves each of its customers one unit, and then
-    /// nothing.
+    /// Returns a document for the next version at a limiter, with a plan whose customers can each use one unit and
+    /// practically nothing afterwards.
     pub fn harmful_document(&self, limiter: u32, plan: &str) -> String {
         self.document_with_quota(limiter, plan, HARMFUL_RATE, HARMFUL_BURST)
     }
 
-    /// The document for the next version at a limiter: a plan at a tenth of its quota.
+    /// Returns a document for the next version at a limiter, with one plan reduced to a tenth of its quota.
     pub fn tenth_of_quota_document(&self, limiter: u32, plan: &str) -> String {
         let (rate, burst) = match self.fleet.plans.iter().find(|known| known.name == plan) {
             Some(known) => (known.rate, known.burst),
@@ -36,7 +38,8 @@
         self.document_with_quota(limiter, plan, rate / 10.0, (burst / 10.0).max(1.0))
     }
 
-    /// A plan at another rate and burst, with the overrides that such steep changes need.
+    /// Returns a document with another rate and burst for one plan, and with the overrides that limiters require for a
+    /// change this large.
     fn document_with_quota(&self, limiter: u32, plan: &str, rate: f64, burst: f64) -> String {
         let text = self.document_with_rate(limiter, plan, rate);
         let head = format!("  rate  = {rate}\n  burst = ");
--- a/crates/rehearse/src/tier/http_client.rs
+++ b/crates/rehearse/src/tier/http_client.rs
@@ -1,32 +1,36 @@
-//! One HTTP exchange on a connection of its own, blocking and with a time limit: suspended limiters respond to nobody.
+//! A blocking HTTP client that opens a new connection for each request. All operations have a timeout, since suspended
+//! limiters don't respond.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A client gives up after this.
+/// Timeout for connecting, and for each read of the response.
 const TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A response with its head in lower case.
+/// An HTTP response.
 pub struct HttpResponse {
+    /// The status code.
     pub status: u16,
+    /// The status line and the headers, in lower case.
     pub head: String,
+    /// The body.
     pub body: String,
 }
 
 impl HttpResponse {
-    /// A header's value, by its name in lower case.
+    /// Returns the value of a header. `name` must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| Some(line.strip_prefix(name)?.strip_prefix(':')?.trim()))
     }
 }
 
-/// Sends a request and waits for its response; `None` where nobody responds in time.
+/// Sends a request and waits for the response. Returns `None` if the exchange fails or times out.
 pub fn exchange(address: SocketAddr, request: &str) -> Option<HttpResponse> {
     read_response(send_request(address, request)?)
 }
 
-/// Writes a request on a new connection.
+/// Sends a request on a new connection and returns the connection. Returns `None` if this fails.
 pub fn send_request(address: SocketAddr, request: &str) -> Option<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&address, TIMEOUT).ok()?;
     stream.set_read_timeout(Some(TIMEOUT)).ok()?;
@@ -34,7 +38,7 @@
     Some(stream)
 }
 
-/// Reads the response on a connection.
+/// Reads a response from a connection. Returns `None` if the response is malformed or does not arrive in time.
 pub fn read_response(stream: TcpStream) -> Option<HttpResponse> {
     let mut reader = BufReader::new(stream);
     let (mut head, mut length) = (String::new(), 0);
--- a/crates/rehearse/src/tier/load.rs
+++ b/crates/rehearse/src/tier/load.rs
@@ -1,4 +1,4 @@
-//! The load on a tier: requests of customers, each recorded with the version that its answer names.
+//! The load on a tier: requests of customers. Each answer is recorded with the version that it names.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -13,28 +13,31 @@
 use super::Tier;
 use crate::sync::locked;
 
-/// Between two requests at one limiter.
+/// Pause between the requests to one limiter.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(2);
-/// A further pause where a limiter did not respond.
+/// Additional pause after a limiter did not respond.
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(5);
 
-/// Threads that send requests, and what stops them.
+/// The threads that send requests.
 pub(super) struct LoadThreads {
+    /// Tells the threads to stop.
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// The customers of a fleet, and the record of what was answered to them. Clones share the record.
+/// The customers of a fleet and the record of the answers that they received. Clones share the record.
 #[derive(Clone)]
 pub(super) struct Customers {
     fleet: Fleet,
+    /// Number of customers.
     count: u64,
     answers: Arc<Mutex<Vec<AnswerRecord>>>,
 }
 
-/// A request that was sent and has not been answered yet.
+/// A request that was sent and is not answered yet.
 pub struct PendingRequest {
     limiter: u32,
+    /// Index of the plan in the fleet file.
     plan: u32,
     sent: Micros,
     stream: TcpStream,
@@ -45,12 +48,12 @@
         Customers { fleet, count, answers: Arc::default() }
     }
 
-    /// Reads the record so far.
+    /// Calls `read` with the answers recorded so far.
     pub(super) fn with_answers<T>(&self, read: impl FnOnce(&[AnswerRecord]) -> T) -> T {
         read(&locked(&self.answers))
     }
 
-    /// Sends the next customer's request.
+    /// Sends a request of the next customer. Returns `None` if the limiter can't be reached.
     fn start_request(&self, limiter: u32, address: SocketAddr) -> Option<PendingRequest> {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let number = NEXT.fetch_add(1, Relaxed);
@@ -67,7 +70,7 @@
         Some(PendingRequest { limiter, plan: plan_index as u32, sent, stream })
     }
 
-    /// Waits for an answer and records it.
+    /// Waits for the answer to a request and records it. Returns `None` if there is no answer.
     fn finish_request(&self, pending: PendingRequest) -> Option<AnswerRecord> {
         let response = http_client::read_response(pending.stream)?;
         let record = AnswerRecord {
@@ -87,6 +90,7 @@
         self.finish_request(pending)
     }
 
+    /// Sends requests to one limiter until `stop` is set.
     fn send_until_stopped(&self, limiter: u32, address: SocketAddr, stop: &AtomicBool) {
         while !stop.load(Relaxed) {
             if self.send_request(limiter, address).is_none() {
@@ -98,22 +102,24 @@
 }
 
 impl Tier {
-    /// Sends one customer's request to a limiter and records its answer; `None` where there was none.
+    /// Sends a customer's request to a limiter and records the answer. Returns `None` if there is no answer.
     pub fn send_request(&self, limiter: u32) -> Option<AnswerRecord> {
         self.customers.send_request(limiter, self.process(limiter).listen)
     }
 
-    /// Sends a request to a limiter, which may be suspended, without waiting for its answer.
+    /// Sends a request to a limiter, which may be suspended, without waiting for the answer. Returns `None` if the
+    /// limiter can't be reached.
     pub fn start_request(&self, limiter: u32) -> Option<PendingRequest> {
         self.customers.start_request(limiter, self.process(limiter).listen)
     }
 
-    /// Waits for the answer to a request that was started, and records it.
+    /// Waits for the answer to a request sent by [`Tier::start_request`] and records it. Returns `None` if there is no
+    /// answer.
     pub fn finish_request(&self, pending: PendingRequest) -> Option<AnswerRecord> {
         self.customers.finish_request(pending)
     }
 
-    /// Sends requests to every limiter, from a thread for each, until [`Tier::stop_load`].
+    /// Starts one thread for each limiter that sends requests to it until [`Tier::stop_load`] is called.
     pub fn start_load(&self) {
         let stop = Arc::new(AtomicBool::new(false));
         let threads = self.limiter_numbers().map(|limiter| {
@@ -125,7 +131,7 @@
         *locked(&self.load) = Some(LoadThreads { stop, threads });
     }
 
-    /// Ends the load and waits until its last requests are answered.
+    /// Stops the load and waits until its last requests are finished.
     pub fn stop_load(&self) {
         if let Some(load) = locked(&self.load).take() {
             load.stop.store(true, Relaxed);
--- a/crates/rehearse/src/tier/mod.rs
+++ b/crates/rehearse/src/tier/mod.rs
@@ -1,8 +1,9 @@
-//! Tiers of real limiters with faults between them: every limiter is a process, and every datagram from one to
-//! another passes a relay.
+//! Runs tiers of real limiters with injected faults. Each limiter is a process, and a relay forwards every datagram
+//! between limiters.
 //!
-//! Faults are triggered by events ("as limiter 2 sends its first accept"), so that a run hits the protocol step it
-//! means whatever the machine's speed. Whether a run was correct is decided from its record: see [`invariants`].
+//! A fault can be triggered by a protocol event, such as the first accept that limiter 2 sends, so that it hits the
+//! intended protocol step regardless of the machine's speed. [`invariants`] decides from the recorded answers whether a
+//! run was correct.
 
 mod admin;
 mod cluster;
@@ -47,34 +48,37 @@
 use load::{Customers, LoadThreads};
 use stand_ins::StandIns;
 
-/// Whatever is awaited longer than this counts as failed.
+/// Maximum time to wait for a condition or for a limiter to become ready.
 const WAIT_LIMIT: Duration = Duration::from_secs(60);
-/// Between two looks at what is awaited.
+/// Interval at which an awaited condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Ports of each limiter, on an address of its own.
+/// Port for client requests. Each limiter has its own address, so all limiters use the same ports.
 const LISTEN_PORT: u16 = 5000;
+/// Port for datagrams from peers.
 const PEER_PORT: u16 = 7946;
+/// Port of the admin endpoint.
 const ADMIN_PORT: u16 = 9901;
 
-/// A tier that runs; dropping it kills its limiters.
+/// A running tier. Dropping it stops the load and kills the limiters.
 pub struct Tier {
     limiters: Vec<LimiterProcess>,
     stand_ins: StandIns,
-    /// The daemon's binary.
+    /// Path of the daemon's binary.
     daemon: PathBuf,
     fleet: Fleet,
     customers: Customers,
     load: Mutex<Option<LoadThreads>>,
+    /// Directory of the limiters' configurations, settings and stores.
     folder: TempDir,
     _runtime: Runtime,
 }
 
 impl Tier {
-    /// Starts a tier and waits until all its limiters listen. They know no version yet: see [`Tier::adopt`].
+    /// Starts a tier and waits until all its limiters listen. They have no active version before [`Tier::adopt`].
     ///
     /// # Errors
-    /// Where a socket, a file or a daemon can't be had.
+    /// If a socket or file operation fails, or a limiter does not start.
     pub fn start(fleet: &Fleet, options: Options) -> Result<Tier, Failure> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Relaxed) % 256;
@@ -133,7 +137,8 @@
     }
 }
 
-/// An address that no other run on this machine uses at the same time: in the loopback range, by process and tier.
+/// Returns a loopback address that is derived from this process's id, the tier and the limiter. Tiers that run at the
+/// same time on one machine thus use different addresses.
 fn address(tier: u32, limiter: u32, port: u16) -> SocketAddr {
     let process = std::process::id();
     let host = [127, 64 + (process & 63) as u8, tier as u8, (1 + (process >> 6 & 15) * 15 + limiter) as u8];
--- a/crates/rehearse/src/tier/network_conditions.rs
+++ b/crates/rehearse/src/tier/network_conditions.rs
@@ -1,26 +1,26 @@
-//! How unreliable the network between limiters is.
+//! Conditions of the network between limiters, and counts of the datagrams that it handled.
 
 use std::time::Duration;
 
-/// What happens to datagrams on links that are not cut.
+/// Faults applied to datagrams on links that are not cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NetworkConditions {
-    /// Share of datagrams lost.
+    /// Fraction of datagrams dropped, from 0 to 1.
     pub loss: f64,
-    /// Share of datagrams delivered twice.
+    /// Fraction of datagrams delivered twice, from 0 to 1.
     pub duplication: f64,
-    /// Share of datagrams delivered with one bit flipped.
+    /// Fraction of datagrams delivered with one bit flipped, from 0 to 1.
     pub corruption: f64,
-    /// Each datagram is delayed by up to so long, which also reorders them.
+    /// Maximum delay. Each datagram is delayed by a random time up to this, which also reorders datagrams.
     pub max_delay: Duration,
 }
 
-/// Datagrams between limiters so far, by what became of them.
+/// Numbers of datagrams between limiters since the tier started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
-    /// Datagrams that came in from limiters, whatever became of them.
+    /// Datagrams received from limiters, including those dropped later.
     pub received: u64,
-    /// Copies sent on.
+    /// Datagrams forwarded; a duplicated datagram counts twice.
     pub forwarded: u64,
     /// Datagrams dropped because their link was cut.
     pub dropped_on_cut_links: u64,
--- a/crates/rehearse/src/tier/options.rs
+++ b/crates/rehearse/src/tier/options.rs
@@ -1,48 +1,48 @@
-//! What a tier is started with.
+//! Options for starting a tier.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A tier to start.
+/// Options for starting a tier.
 pub struct Options {
-    /// Limiters in the tier.
+    /// Number of limiters in the tier.
     pub limiters: u32,
-    /// Feeds everything that is drawn.
+    /// Seed of the random numbers of the relay and the stand-ins.
     pub seed: u64,
-    /// The daemon's binary.
+    /// Path of the daemon's binary.
     pub daemon: PathBuf,
-    /// Keys of the `tier` block beside the store; empty for limiters without consensus.
+    /// Keys of the `tier` settings block, except the store and the clock offset. Empty for limiters without consensus.
     pub tier_block: String,
-    /// Whether each limiter keeps its votes and documents in a file.
+    /// Whether each limiter stores its votes and documents in a file.
     pub has_stores: bool,
-    /// What each limiter's clock is ahead of the machine's; 0 beyond the list's end.
+    /// How far each limiter's clock is ahead of the machine's, in milliseconds. Limiters past the end of the list have 0.
     pub clock_offsets_ms: Vec<i64>,
-    /// Backends behind the limiters.
+    /// Number of backends.
     pub backends: u32,
-    /// How long a backend takes over each response.
+    /// Time a backend takes to respond to a request.
     pub backend_latency: Duration,
-    /// Customers that the load comes from: the fewer there are, the more each asks for.
+    /// Number of customers that the load is spread over. Fewer customers mean a higher request rate for each.
     pub customers: u64,
 }
 
-/// Keys of a `tier` block with short timers. The clock differences and faults of rehearsals stay within what these
-/// settings state.
+/// Keys of a `tier` settings block with short timers. The clock differences and injected faults of a rehearsal must
+/// stay within the limits that these settings state.
 pub const QUICK_SETTINGS: &str =
     "round = \"100ms\"\n  lease = \"1s\"\n  skew = \"100ms\"\n  lead = \"3s\"\n  \
                          intake = 100\n  unknown = \"refuse\"\n  rehearsal = true\n";
 
-/// Settings of canary analysis for such tiers, to stand beside [`QUICK_SETTINGS`].
+/// Settings of canary analysis, to append to [`QUICK_SETTINGS`].
 pub const CANARY_SETTINGS: &str =
     "  watch {\n    before = \"10s\"\n    span = \"12s\"\n    first_look = \"3s\"\n  }\n";
 
-/// At the rate of the load each of so many customers asks for less than the smallest plan allows, and for more than a
-/// plan allows after a harmful change.
+/// Default number of customers. At the rate of the load, each of them stays below the quota of the smallest plan but
+/// exceeds the quota that a harmful change leaves a plan.
 const CUSTOMERS: u64 = 240;
 
 const DEFAULT_SEED: u64 = 7;
 
 impl Options {
-    /// A tier of [`QUICK_SETTINGS`] settings and one backend that responds at once.
+    /// Returns options for a tier with [`QUICK_SETTINGS`] and one backend that responds immediately.
     pub fn quick(limiters: u32, daemon: PathBuf) -> Options {
         Options {
             limiters,
--- a/crates/rehearse/src/tier/relay.rs
+++ b/crates/rehearse/src/tier/relay.rs
@@ -1,5 +1,5 @@
-//! The links between the limiters of a tier: every datagram passes through a socket of this relay, which applies the
-//! network conditions, the cuts and the scheduled actions.
+//! The relay between the limiters of a tier. It forwards every datagram between limiters, applies the network
+//! conditions, drops datagrams on cut links, and runs the scheduled actions.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -18,19 +18,20 @@
 use crate::sync::locked;
 use crate::{io, Failure};
 
-/// The longest datagram, and one byte more to tell a longer one.
-const BUFFER: usize = 257;
+/// Size of the receive buffer, in bytes: one more than the longest valid datagram, so that a longer one does not become
+/// valid by truncation.
+const BUFFER_BYTES: usize = 257;
 
 struct State {
     conditions: NetworkConditions,
-    /// Links by sender and receiver over which nothing goes.
+    /// The cut links, as sender and receiver.
     cut: HashSet<(u32, u32)>,
     schedule: Schedule,
-    draws: StdRng,
+    rng: StdRng,
     counts: DatagramCounts,
 }
 
-/// All links of a tier.
+/// All links between the limiters of a tier.
 #[derive(Clone)]
 pub struct Relay {
     state: Arc<Mutex<State>>,
@@ -38,13 +39,13 @@
     pub ports: Vec<Vec<SocketAddr>>,
 }
 
-/// One direction between two limiters.
+/// One direction of the link between two limiters.
 struct DirectedLink {
     from: u32,
     to: u32,
     receive: Arc<UdpSocket>,
     send: Arc<UdpSocket>,
-    /// Where the receiving limiter listens.
+    /// The address at which the receiving limiter listens.
     target: SocketAddr,
 }
 
@@ -59,7 +60,7 @@
             conditions: NetworkConditions::default(),
             cut: HashSet::new(),
             schedule: Schedule::default(),
-            draws: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             counts: DatagramCounts::default(),
         };
         let relay = Relay { state: Arc::new(Mutex::new(state)), ports: ports? };
@@ -69,7 +70,8 @@
                     from: from as u32,
                     to: to as u32,
                     receive: receive.clone(),
-                    // The receiver knows the sender by the socket that stands at the receiver for the sender.
+                    // The receiver identifies a peer by address, so its datagrams must arrive from the address to which
+                    // the receiver sends datagrams for that peer.
                     send: sockets[to][from].clone(),
                     target: listen[to],
                 };
@@ -83,8 +85,9 @@
         locked(&self.state)
     }
 
+    /// Forwards the datagrams of one link until its socket fails.
     async fn forward(self, link: DirectedLink) {
-        let mut buffer = [0; BUFFER];
+        let mut buffer = [0; BUFFER_BYTES];
         while let Ok((length, _)) = link.receive.recv_from(&mut buffer).await {
             let mut bytes = buffer[..length].to_vec();
             self.run_due_actions(link.from, &bytes);
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Runs the actions that this datagram triggers, without holding the lock meanwhile.
+    /// Runs the actions that a datagram triggers. The lock on the state is not held while they run.
     fn run_due_actions(&self, from: u32, bytes: &[u8]) {
         let Some(kind) = datagram_kind(bytes) else { return };
         let due = self.state().schedule.take_due(from, kind);
@@ -107,7 +110,7 @@
         }
     }
 
-    /// The delay of each copy of a datagram that is forwarded; none where it is dropped. May corrupt it.
+    /// Returns the delay of each copy of a datagram to forward; empty if the datagram is dropped. May corrupt `bytes`.
     fn copy_delays(&self, from: u32, to: u32, bytes: &mut [u8]) -> Vec<Duration> {
         let mut state = self.state();
         state.counts.received += 1;
@@ -116,26 +119,26 @@
             return Vec::new();
         }
         let conditions = state.conditions;
-        if state.draws.random::<f64>() < conditions.loss {
+        if state.rng.random::<f64>() < conditions.loss {
             state.counts.lost += 1;
             return Vec::new();
         }
-        if state.draws.random::<f64>() < conditions.corruption {
-            let place = state.draws.random_range(0..bytes.len());
-            let bit = state.draws.random_range(0..8);
-            bytes[place] ^= 1 << bit;
+        if state.rng.random::<f64>() < conditions.corruption {
+            let index = state.rng.random_range(0..bytes.len());
+            let bit = state.rng.random_range(0..8);
+            bytes[index] ^= 1 << bit;
         }
-        let copies = if state.draws.random::<f64>() < conditions.duplication { 2 } else { 1 };
+        let copies = if state.rng.random::<f64>() < conditions.duplication { 2 } else { 1 };
         state.counts.forwarded += copies;
-        (0..copies).map(|_| conditions.max_delay.mul_f64(state.draws.random::<f64>())).collect()
+        (0..copies).map(|_| conditions.max_delay.mul_f64(state.rng.random::<f64>())).collect()
     }
 
-    /// Sets what happens on the links that are not cut.
+    /// Sets the conditions of all links that are not cut.
     pub fn set_conditions(&self, conditions: NetworkConditions) {
         self.state().conditions = conditions;
     }
 
-    /// From now on nothing goes from one limiter to another; the way back stays open.
+    /// Cuts the link from one limiter to another. The opposite direction stays open.
     pub fn cut(&self, from: u32, to: u32) {
         self.state().cut.insert((from, to));
     }
@@ -150,28 +153,28 @@
         }
     }
 
-    /// Opens all links again.
+    /// Opens all cut links again.
     pub fn restore(&self) {
         self.state().cut.clear();
     }
 
-    /// Schedules an action; the receiver shows `true` once it has run.
+    /// Schedules an action. The returned receiver holds `true` once the action has run.
     pub fn schedule(&self, trigger: Trigger, action: Action) -> watch::Receiver<bool> {
         self.state().schedule.add(trigger, action)
     }
 
-    /// Cancels the actions that have not been triggered yet.
+    /// Cancels all actions whose triggers have not fired yet.
     pub fn cancel_scheduled(&self) {
         self.state().schedule.clear();
     }
 
-    /// Datagrams so far, by what became of them.
+    /// Returns the numbers of datagrams since the relay started.
     pub fn counts(&self) -> DatagramCounts {
         self.state().counts
     }
 }
 
-/// A socket for each pair of limiters.
+/// Binds a socket for each ordered pair of limiters.
 async fn bind_sockets(limiters: usize) -> Result<Vec<Vec<Arc<UdpSocket>>>, Failure> {
     let mut sockets = Vec::new();
     for _ in 0..limiters {
--- a/crates/rehearse/src/tier/service_links.rs
+++ b/crates/rehearse/src/tier/service_links.rs
@@ -1,5 +1,5 @@
-//! The links from each limiter to the quota counter and to discovery: every connection passes here, and can be cut,
-//! or stalled without being closed.
+//! The links from each limiter to the quota counter and to discovery. Each link is a TCP proxy whose connections can be
+//! closed, or stalled without being closed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 
 use crate::{io, Failure};
 
-/// What a limiter has a link to beside the other limiters.
+/// A service that limiters connect to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
-    /// The shared counter of quota use.
+    /// The shared quota counter.
     Counter,
-    /// The service that names endpoints.
+    /// Discovery, which serves the endpoint list.
     Discovery,
 }
 
@@ -25,38 +25,38 @@
 pub enum LinkState {
     /// Data is forwarded in both directions.
     Open,
-    /// Connections stay open but nothing is forwarded, in either direction; new ones are accepted.
+    /// No data is forwarded in either direction. Open connections stay open, and new ones are accepted.
     Stalled,
-    /// Connections are closed, and new ones as soon as they come.
+    /// Open connections are closed, and new ones are closed immediately.
     Cut,
 }
 
 /// One limiter's link to one service.
 pub struct Link {
-    /// Where the limiter finds the service.
+    /// The address to which the limiter connects instead of the service.
     pub address: SocketAddr,
     state: Arc<watch::Sender<LinkState>>,
 }
 
 impl Link {
-    /// Starts an open link to `service`.
+    /// Starts a link, initially open, to the service at the address `service`.
     ///
     /// # Errors
-    /// Where there is no port on loopback.
+    /// If no port on loopback can be bound.
     pub async fn start(service: SocketAddr) -> Result<Link, Failure> {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("a link's socket"))?;
         let address = listener.local_addr().map_err(io("a link's address"))?;
         let state = Arc::new(watch::channel(LinkState::Open).0);
-        let seen = state.subscribe();
+        let receiver = state.subscribe();
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(forward_connection(near, service, seen.clone()));
+                tokio::spawn(forward_connection(near, service, receiver.clone()));
             }
         });
         Ok(Link { address, state })
     }
 
-    /// Sets the state, for connections that exist and those to come.
+    /// Sets the state for existing and new connections.
     pub fn set(&self, state: LinkState) {
         self.state.send_replace(state);
     }
@@ -79,12 +79,12 @@
     }
 }
 
-/// Forwards one direction of a connection until it ends.
+/// Forwards one direction of a connection until this direction ends or fails.
 async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut state: watch::Receiver<LinkState>) {
     let mut buffer = [0; 4_096];
     loop {
         let Ok(count) = from.read(&mut buffer).await else { return };
-        // What was read as the link stalled waits, as it would in a network's buffers.
+        // Data that was read before the link stalled is held back, as if it were buffered in the network.
         let ended = state.wait_for(|s| *s != LinkState::Stalled).await.is_err();
         if count == 0 || ended || to.write_all(&buffer[..count]).await.is_err() {
             return;
--- a/crates/rehearse/src/tier/stand_ins.rs
+++ b/crates/rehearse/src/tier/stand_ins.rs
@@ -1,4 +1,4 @@
-//! What a tier's limiters are connected to beside each other: backends, the quota counter and discovery.
+//! The stand-ins for what limiters connect to: backends, the quota counter, discovery, and the links to all of them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,15 +15,18 @@
 use super::Options;
 use crate::{counter, discovery, io, Failure};
 
+/// The response of a backend to each request.
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// All stand-ins of a tier. They run on the tier's runtime.
+/// All stand-ins of a tier. Their tasks run on the tier's runtime.
 pub struct StandIns {
+    /// The links between the limiters.
     pub relay: Relay,
+    /// The quota counter.
     pub counter: counter::Counter,
-    /// What discovery names from the start.
+    /// The initial endpoint list.
     pub endpoints: Vec<Value>,
-    /// Each limiter's links to its services.
+    /// The links to services, one entry for each limiter.
     pub service_links: Vec<ServiceLinks>,
     backends: Vec<Backend>,
     _discovery: discovery::Discovery,
@@ -35,14 +38,14 @@
     discovery: Link,
 }
 
-/// A backend that runs; aborting its task closes its sockets.
+/// A running backend. Aborting its task closes its sockets.
 struct Backend {
     address: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl StandIns {
-    /// Starts all stand-ins for limiters that receive datagrams at `peers`.
+    /// Starts all stand-ins. `peers` are the addresses at which the limiters receive datagrams.
     pub async fn start(fleet: &Fleet, options: &Options, peers: &[SocketAddr]) -> Result<StandIns, Failure> {
         let mut backends = Vec::new();
         for _ in 0..options.backends {
@@ -64,12 +67,12 @@
         Ok(StandIns { relay, counter, endpoints, service_links, backends, _discovery: discovery })
     }
 
-    /// Ends the first `count` backends with all their connections; discovery still names them.
+    /// Stops the first `count` backends and closes their connections. They stay in the endpoint list.
     pub fn lose_backends(&self, count: usize) {
         self.backends.iter().take(count).for_each(|backend| backend.task.abort());
     }
 
-    /// Opens all links between limiters and to services.
+    /// Opens all links between limiters and to services again.
     pub fn restore_links(&self) {
         self.relay.restore();
         for links in &self.service_links {
@@ -80,7 +83,7 @@
 }
 
 impl ServiceLinks {
-    /// The link to a service.
+    /// Returns the link to a service.
     pub fn to(&self, service: Service) -> &Link {
         match service {
             Service::Counter => &self.counter,
@@ -89,14 +92,14 @@
     }
 }
 
-/// A backend as discovery names it.
+/// Returns a backend's entry in the endpoint list.
 fn endpoint(fleet: &Fleet, number: usize, address: SocketAddr) -> Value {
     json!({"id": format!("w{number}"), "addr": address.to_string(), "cell": 0, "zone": fleet.zones[0].name,
            "state": "Ready", "weight": 1.0, "kind": fleet.backend_kinds[0].name, "started_ms": 0})
 }
 
 impl Backend {
-    /// Starts a backend that responds to everything after `latency`.
+    /// Starts a backend that responds to each request after `latency`.
     async fn start(latency: Duration) -> Result<Backend, Failure> {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("a backend's socket"))?;
         let address = listener.local_addr().map_err(io("a backend's address"))?;
@@ -110,7 +113,7 @@
     }
 }
 
-/// Responds after each empty line, which ends a request's head: the load sends no bodies.
+/// Responds to every request on a connection. A request ends with an empty line, as requests of the load have no body.
 async fn respond_to_all(stream: TcpStream, latency: Duration) {
     let (read, mut write) = stream.into_split();
     let mut lines = BufReader::new(read).lines();
