--- a/crates/rehearse/src/tier/invariants.rs
+++ b/crates/rehearse/src/tier/invariants.rs
@@ -1,8 +1,9 @@
-//! Checks the invariants of consensus on a run's record alone, so that no limiter's own view decides.
+//! Checks the invariants of consensus. Only what clients and limiters report is compared, so that no limiter's view of
+//! its own state is trusted.
 //!
-//! One history: all limiters that report a version report the same document and activation for it. One version at a
-//! time: an answer's version was active, up to the clocks' difference, at some moment between the request's sending
-//! and the answer's arrival.
+//! - One history: all limiters that report a version report the same document and activation time for it.
+//! - One version at a time: the version that an answer names was active at some time between the sending of the request
+//!   and the arrival of the answer. The maximum difference between the limiters' clocks is tolerated.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,25 +14,25 @@
 /// Unix time in microseconds.
 pub type Micros = u64;
 
-/// One request as its client saw it.
+/// A request and its answer, as recorded by the client.
 #[derive(Clone, PartialEq, Serialize)]
 pub struct AnswerRecord {
     /// The number of the limiter that the request was sent to.
     pub limiter: u32,
-    /// When the client sent the request.
+    /// Time at which the client sent the request.
     pub sent: Micros,
-    /// When the client had the answer.
+    /// Time at which the client received the answer.
     pub answered: Micros,
-    /// Its plan's place in the fleet file.
+    /// Index of the customer's plan in the fleet file.
     pub plan: u32,
     /// The HTTP status code of the answer.
     pub status: u16,
-    /// The version that the answer names; rejections by a limiter that does not know the active one name none.
+    /// The version that the answer names. Rejections by a limiter that does not know the active version name none.
     pub version: Option<u64>,
 }
 
 impl fmt::Debug for AnswerRecord {
-    /// Reports of campaigns print answers under the name `Seen`, and scripts read them so.
+    /// Prints answers under the name `Seen`, which scripts that read the reports of campaigns expect.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Seen")
             .field("limiter", &self.limiter)
@@ -44,38 +45,38 @@
     }
 }
 
-/// An invariant that a run violated. Reports print the variants and their fields by name.
+/// A violated invariant. Reports print the variants and their fields by name.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Violation {
-    /// Two limiters report one version differently.
+    /// Two limiters report different contents or activation times for a version.
     TwoHistories {
-        /// The version that is reported differently.
+        /// The number of the version.
         version: u64,
-        /// The digest, whether it is void, and the activation, by the first report.
+        /// The first report: the digest, whether the version is void, and the activation time.
         one: String,
-        /// The same by a report that differs.
+        /// The report that differs, in the same form.
         other: String,
     },
     /// An answer names a version that no limiter reports.
     Unknown {
-        /// The answer with the unreported version.
+        /// The answer that names the unreported version.
         seen: AnswerRecord,
     },
-    /// An answer came under a version that was not active yet, or no longer, by more than the bound.
+    /// The version that an answer names was not active yet or no longer active, by more than the bound.
     OutOfForce {
-        /// The answer under the inactive version.
+        /// The answer that names the inactive version.
         seen: AnswerRecord,
-        /// By how much the bound was exceeded, microseconds.
+        /// By how much the bound was exceeded, in microseconds.
         by_us: u64,
     },
-    /// A served answer names no version.
+    /// The answer to a served request names no version.
     Unversioned {
         /// The answer without a version.
         seen: AnswerRecord,
     },
-    /// A document came back after automatic rollback, though no operator had asked for it.
+    /// A document became active again after automatic rollback, although no operator had requested this.
     UndoneTwice {
-        /// Identifies the document.
+        /// The digest of the document.
         digest: String,
         /// How many times the document became active.
         made: usize,
@@ -87,15 +88,17 @@
 pub struct CheckReport {
     /// Number of answers checked.
     pub answers: usize,
-    /// Number of distinct versions in all histories, void ones included.
+    /// Number of distinct versions in all histories, including void ones.
     pub versions: usize,
-    /// How far outside its version's time an answer was at the most, within the bound or not.
+    /// The longest time by which an answer was outside the active time of its version, in microseconds, whether within
+    /// the bound or not.
     pub largest_mixing_us: u64,
-    /// All violations found; empty where the invariants hold.
+    /// All violations found; empty if the invariants hold.
     pub broken: Vec<Violation>,
 }
 
-/// Checks the answers against the histories that limiters report; `bound` is by how much two versions may overlap.
+/// Checks answers against the histories that limiters report. `bound` is the maximum time by which the active times of
+/// two versions may overlap.
 pub fn check(answers: &[AnswerRecord], histories: &[Value], bound: Micros) -> CheckReport {
     let mut report = CheckReport { answers: answers.len(), ..CheckReport::default() };
     let versions = merge_histories(histories, &mut report.broken);
@@ -107,10 +110,10 @@
     report
 }
 
-/// A version as a limiter's history reports it.
+/// A version as reported in a limiter's history.
 #[derive(Clone, PartialEq)]
 struct ReportedVersion {
-    /// As JSON.
+    /// The digest of the document, as JSON text.
     digest: String,
     is_void: bool,
     activated_at: Micros,
@@ -125,13 +128,14 @@
         }
     }
 
-    /// As violations print it.
+    /// Returns the text that violations show.
     fn describe(&self) -> String {
         format!("{:?}", (&self.digest, self.is_void, self.activated_at))
     }
 }
 
-/// All versions that any limiter reports; those reported differently are violations.
+/// Merges the versions that limiters report. Adds a violation for each report that differs from the first one of its
+/// version.
 fn merge_histories(histories: &[Value], violations: &mut Vec<Violation>) -> BTreeMap<u64, ReportedVersion> {
     let mut versions = BTreeMap::new();
     for entry in histories.iter().filter_map(Value::as_array).flatten() {
@@ -146,15 +150,16 @@
     versions
 }
 
-/// A version that became active, as opposed to a void one, under which the one before stays active.
+/// A version that became active. Void versions never do: the previous version stays active.
 struct Activation {
     version: u64,
+    /// The activation time that limiters report.
     at: Micros,
-    /// When the first answer came under this version or a later one.
+    /// Arrival of the first answer that names this version or a later one.
     first_seen: Micros,
 }
 
-/// All activations in the order of their versions.
+/// All activations, ordered by version.
 struct ActivationTimeline(Vec<Activation>);
 
 impl ActivationTimeline {
@@ -168,12 +173,12 @@
         ActivationTimeline(activations.collect())
     }
 
-    /// How far outside the time in which its version was active an answer was.
+    /// Returns the time by which an answer was outside the active time of its version; 0 if it was inside.
     fn distance(&self, answer: &AnswerRecord, version: u64) -> Micros {
         let next = self.0.partition_point(|activation| activation.version <= version);
         let from = next.checked_sub(1).map_or(0, |current| self.0[current].at);
-        // A change that was decided late becomes active after its moment: the version before ends where the next one
-        // is first seen, and no sooner than the moment.
+        // A change that is decided late becomes active after its activation time. The previous version therefore stays
+        // active until the first answer under the next version, but at least until the next version's activation time.
         let until = self.0.get(next).map_or(Micros::MAX, |following| following.first_seen.max(following.at));
         let too_early = from.saturating_sub(answer.answered);
         let too_late = answer.sent.saturating_sub(until);
@@ -181,11 +186,13 @@
     }
 }
 
+/// Returns the arrival of the first answer that names `version` or a later one, or `Micros::MAX` if there is none.
 fn first_answer_under(version: u64, answers: &[AnswerRecord]) -> Micros {
     let under = answers.iter().filter(|answer| answer.version.is_some_and(|named| named >= version));
     under.map(|answer| answer.answered).min().unwrap_or(Micros::MAX)
 }
 
+/// Checks one answer and adds the result to `report`.
 fn check_answer(
     answer: &AnswerRecord,
     versions: &BTreeMap<u64, ReportedVersion>,
@@ -210,44 +217,52 @@
     }
 }
 
-/// What a harmful change of a plan cost until it was rolled back, or until the record ends.
+/// The cost of a harmful change of a plan, from its activation until it was rolled back or the record ends.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct HarmfulChangeCost {
-    /// From the change's activation to that of the next version; `None` where there was none.
+    /// Time from the activation of the change to that of the next version, in milliseconds. `None` if no version
+    /// followed.
     pub undone_after_ms: Option<u64>,
-    /// Requests on the plan that were sent meanwhile.
+    /// Number of requests of the plan sent while the change was active.
     pub tries: usize,
-    /// Those of them that were not served.
+    /// Number of these requests that were not served.
     pub lost: usize,
-    /// Their worth: the priority weight of the first class times the plan's price for each.
+    /// Total value of the requests that were not served.
     pub worth_lost: f64,
 }
 
-/// What a harmful change of a plan by a document cost; `None` where that document never became active. `worth` is what
-/// one request on the plan is worth.
+/// Returns the cost of a harmful change of a plan, or `None` if the change never became active. `digest` identifies the
+/// document of the change; `value` is the value of one request of the plan.
 ///
 /// # Errors
-/// Where the document became active twice: it came back after automatic rollback.
+/// If the document became active more than once, which means that it returned after automatic rollback.
 pub fn harmful_change_cost(
-    seen: &[AnswerRecord],
+    answers: &[AnswerRecord],
     history: &Value,
     digest: &str,
     plan: u32,
-    worth: f64,
+    value: f64,
 ) -> Result<Option<HarmfulChangeCost>, Violation> {
-    let made: Vec<&Value> = history.as_array().into_iter().flatten().filter(|p| p["void"] == false).collect();
-    let places: Vec<usize> = (0..made.len()).filter(|n| made[*n]["digest"] == digest).collect();
-    let Some(first) = places.first() else { return Ok(None) };
-    if places.len() > 1 {
-        return Err(Violation::UndoneTwice { digest: digest.into(), made: places.len() });
+    let activated: Vec<&Value> =
+        history.as_array().into_iter().flatten().filter(|entry| entry["void"] == false).collect();
+    let indices: Vec<usize> = (0..activated.len()).filter(|n| activated[*n]["digest"] == digest).collect();
+    let Some(first) = indices.first() else { return Ok(None) };
+    if indices.len() > 1 {
+        return Err(Violation::UndoneTwice { digest: digest.into(), made: indices.len() });
     }
-    let at = |n: usize| made.get(n).and_then(|p| p["at"].as_u64());
-    let (from, until) = (at(*first).unwrap_or(0), at(first + 1));
-    let within = |s: &&AnswerRecord| s.plan == plan && s.sent >= from && until.is_none_or(|u| s.sent < u);
-    let tries: Vec<&AnswerRecord> = seen.iter().filter(within).collect();
-    let lost = tries.iter().filter(|s| s.status != 200).count();
-    let undone_after_ms = until.map(|u| u.saturating_sub(from) / 1_000);
-    Ok(Some(HarmfulChangeCost { undone_after_ms, tries: tries.len(), lost, worth_lost: lost as f64 * worth }))
+    let activated_at = |n: usize| activated.get(n).and_then(|entry| entry["at"].as_u64());
+    let (from, until) = (activated_at(*first).unwrap_or(0), activated_at(first + 1));
+    let is_affected =
+        |a: &&AnswerRecord| a.plan == plan && a.sent >= from && until.is_none_or(|end| a.sent < end);
+    let affected: Vec<&AnswerRecord> = answers.iter().filter(is_affected).collect();
+    let lost = affected.iter().filter(|answer| answer.status != 200).count();
+    let undone_after_ms = until.map(|end| end.saturating_sub(from) / 1_000);
+    Ok(Some(HarmfulChangeCost {
+        undone_after_ms,
+        tries: affected.len(),
+        lost,
+        worth_lost: lost as f64 * value,
+    }))
 }
 
 #[cfg(test)]
--- a/crates/rehearse/src/tier/observation.rs
+++ b/crates/rehearse/src/tier/observation.rs
@@ -124,9 +124,9 @@
         digest: &str,
         plan: u32,
     ) -> Result<Option<HarmfulChangeCost>, Violation> {
-        let worth = self.fleet.classes[0].priority_weight * self.fleet.plans[plan as usize].price;
+        let value = self.fleet.classes[0].priority_weight * self.fleet.plans[plan as usize].price;
         let history = self.status(0).map(|status| status["history"].clone()).unwrap_or_default();
         self.customers
-            .with_answers(|answers| invariants::harmful_change_cost(answers, &history, digest, plan, worth))
+            .with_answers(|answers| invariants::harmful_change_cost(answers, &history, digest, plan, value))
     }
 }
--- a/crates/rehearse/src/tier/options.rs
+++ b/crates/rehearse/src/tier/options.rs
@@ -15,7 +15,7 @@
     pub tier_block: String,
     /// Whether each limiter stores its votes and documents in a file.
     pub has_stores: bool,
-    /// How far each limiter's clock is ahead of the machine's, in milliseconds. Limiters past the end of the list have 0.
+    /// How far each limiter's clock is ahead of the machine's, in milliseconds; 0 for limiters that the list lacks.
     pub clock_offsets_ms: Vec<i64>,
     /// Number of backends.
     pub backends: u32,
--- a/crates/rehearse/src/tier/timeline/draw.rs
+++ b/crates/rehearse/src/tier/timeline/draw.rs
@@ -1,4 +1,4 @@
-//! Timelines drawn from a seed.
+//! Generation of random timelines from a seed.
 
 use std::time::Duration;
 
@@ -8,15 +8,16 @@
 use super::step::{Step, DATAGRAM_KINDS, LINK_STATES, SERVICES};
 use crate::tier::{NetworkConditions, StoreState};
 
-/// One in so many drawn timelines begins with a harmful change.
+/// Seeds that are multiples of this generate a timeline that begins with a harmful change.
 const HARMFUL_CHANGE_EVERY: u64 = 4;
-/// Share of the drawn timelines in which limiters lose services.
-const SERVICE_FAULTS_SHARE: f64 = 0.5;
+/// Fraction of the generated timelines that have faults of the links to services.
+const SERVICE_FAULTS_PROBABILITY: f64 = 0.5;
 
-/// Draws a timeline: the same seed gives the same one.
+/// Generates a timeline. The same seed always gives the same timeline.
 ///
-/// At most one limiter loses its store, since a majority without its stores waits for an operator. Every fourth
-/// timeline begins with a harmful change that only canary analysis may roll back.
+/// At most one restart finds its store missing or truncated, as a majority without stores would wait for an operator.
+/// Every fourth timeline begins with a harmful change and has no undo steps, so that only canary analysis rolls the
+/// change back.
 pub fn draw(seed: u64, limiters: u32) -> Vec<Step> {
     let mut steps = FaultGenerator::new(seed, limiters).draw();
     if seed.is_multiple_of(HARMFUL_CHANGE_EVERY) {
@@ -29,10 +30,11 @@
     steps
 }
 
-/// Inserts faults of the links to services, with draws of their own so that the rest of the timeline stays the same.
+/// Inserts faults of the links to services. They are drawn from a separate random number generator, so that they don't
+/// change the other steps of a seed.
 fn insert_service_faults(steps: &mut Vec<Step>, seed: u64, limiters: u32) {
     let mut rng = StdRng::seed_from_u64(!seed);
-    if !rng.random_bool(SERVICE_FAULTS_SHARE) {
+    if !rng.random_bool(SERVICE_FAULTS_PROBABILITY) {
         return;
     }
     for _ in 0..rng.random_range(1..4) {
@@ -45,19 +47,22 @@
     }
 }
 
-/// Draws the steps between limiters, and keeps track of the state in which they leave the tier.
+/// Draws all steps except faults of the links to services, and tracks the state of the tier that results from them.
 struct FaultGenerator {
     rng: StdRng,
     limiters: u32,
+    /// Limiters that were killed, or may be by a trigger, and were not restarted.
     down: Vec<u32>,
+    /// Limiters whose processes are suspended.
     frozen: Vec<u32>,
-    store_lost: bool,
+    /// Whether a restart found its store missing or truncated.
+    is_store_lost: bool,
 }
 
 impl FaultGenerator {
     fn new(seed: u64, limiters: u32) -> FaultGenerator {
         let rng = StdRng::seed_from_u64(seed);
-        FaultGenerator { rng, limiters, down: Vec::new(), frozen: Vec::new(), store_lost: false }
+        FaultGenerator { rng, limiters, down: Vec::new(), frozen: Vec::new(), is_store_lost: false }
     }
 
     fn draw(mut self) -> Vec<Step> {
@@ -65,7 +70,7 @@
         (0..count).map(|n| self.draw_step(n == 0)).collect()
     }
 
-    /// Draws one step. Recorded timelines rest on the order of the draws.
+    /// Draws one step. The order of the draws determines which timeline a seed generates, so it must stay the same.
     fn draw_step(&mut self, is_first: bool) -> Step {
         let limiter = self.rng.random_range(0..self.limiters);
         let choice = self.rng.random_range(0..16);
@@ -108,11 +113,11 @@
     fn draw_restart(&mut self) -> Step {
         let limiter = self.down.swap_remove(self.rng.random_range(0..self.down.len()));
         let store = match self.rng.random_range(0..4) {
-            0 if !self.store_lost => StoreState::Missing,
-            1 if !self.store_lost => StoreState::Truncated,
+            0 if !self.is_store_lost => StoreState::Missing,
+            1 if !self.is_store_lost => StoreState::Truncated,
             _ => StoreState::Intact,
         };
-        self.store_lost |= store != StoreState::Intact;
+        self.is_store_lost |= store != StoreState::Intact;
         Step::Restart { limiter, store }
     }
 
--- a/crates/rehearse/src/tier/timeline/hcl.rs
+++ b/crates/rehearse/src/tier/timeline/hcl.rs
@@ -1,4 +1,4 @@
-//! Timelines as HCL: one block for each step.
+//! Reads and prints timelines as HCL, with one block for each step.
 
 use std::fmt;
 use std::path::Path;
@@ -6,17 +6,18 @@
 
 use sedgestack_hcl::{ConfigError, Document, Section};
 
-use super::step::{word_of, Step, DATAGRAM_KINDS, LINK_STATES, SERVICES, STORE_STATES};
+use super::step::{keyword_of, Step, DATAGRAM_KINDS, LINK_STATES, SERVICES, STORE_STATES};
 use crate::tier::NetworkConditions;
 
-/// Rates that a change may set: within a factor of two of the sample's, so that no override is needed.
+/// Rates that a change may set, in units per second. They are within a factor of two of the reference rate, so that a
+/// change needs no override.
 const RATES: std::ops::RangeInclusive<f64> = 3.6..=14.4;
-/// A trigger waits for no more datagrams than this.
+/// Maximum number of datagrams that a trigger waits for.
 const MAX_NTH: u64 = 10_000;
 const MICROS_PER_MS: u64 = 1_000;
 
 impl fmt::Display for Step {
-    /// As an HCL block, which reads back as the same step.
+    /// Prints the step as an HCL block. [`read`] parses it to the same step.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Step::Change { at, rate } => write_block(f, "change", &[("at", at), ("rate", rate)]),
@@ -29,7 +30,7 @@
                 &[("limiter", limiter), ("from", from), ("kind", &Quoted(kind)), ("nth", nth)],
             ),
             Step::Restart { limiter, store } => {
-                let store = Quoted(word_of(&STORE_STATES, store));
+                let store = Quoted(keyword_of(&STORE_STATES, store));
                 write_block(f, "restart", &[("limiter", limiter), ("store", &store)])
             }
             Step::Freeze { limiter } => write_block(f, "freeze", &[("limiter", limiter)]),
@@ -37,7 +38,8 @@
             Step::Cut { from, to } => write_block(f, "cut", &[("from", from), ("to", to)]),
             Step::Split { below } => write_block(f, "split", &[("below", below)]),
             Step::Link { limiter, to, state } => {
-                let (to, state) = (Quoted(word_of(&SERVICES, to)), Quoted(word_of(&LINK_STATES, state)));
+                let (to, state) =
+                    (Quoted(keyword_of(&SERVICES, to)), Quoted(keyword_of(&LINK_STATES, state)));
                 write_block(f, "link", &[("limiter", limiter), ("to", &to), ("state", &state)])
             }
             Step::RestoreLinks => write!(f, "step \"mend\" {{}}"),
@@ -56,7 +58,7 @@
     }
 }
 
-/// A string in HCL; none of the words used here needs escapes.
+/// Prints a keyword as an HCL string. Keywords need no escapes.
 struct Quoted(&'static str);
 
 impl fmt::Display for Quoted {
@@ -65,7 +67,7 @@
     }
 }
 
-/// A duration in HCL.
+/// Prints a duration in milliseconds as an HCL string.
 struct Milliseconds(u128);
 
 impl fmt::Display for Milliseconds {
@@ -74,7 +76,7 @@
     }
 }
 
-/// Writes a step with its keys, the equals signs aligned.
+/// Writes the block of a step, with the equals signs of its attributes aligned.
 fn write_block(
     f: &mut fmt::Formatter<'_>,
     label: &str,
@@ -88,10 +90,11 @@
     write!(f, "}}")
 }
 
-/// Reads a timeline for a tier of so many limiters.
+/// Reads a timeline for a tier of the given number of limiters.
 ///
 /// # Errors
-/// Names file, line, column and key at fault, and what was expected there.
+/// If the file can't be read or is not a valid timeline. The error names the file, line, column and key, and what was
+/// expected there.
 pub fn read(path: &Path, limiters: u32) -> Result<Vec<Step>, ConfigError> {
     let document = Document::read(path)?;
     let root = document.root();
@@ -114,8 +117,8 @@
         },
         "kill" => Step::Kill { limiter: limiter("limiter")? },
         "restart" => {
-            let words = STORE_STATES.map(|(_, word)| word);
-            let store = section.keyword_or_first("store", &words);
+            let keywords = STORE_STATES.map(|(_, keyword)| keyword);
+            let store = section.keyword_or_first("store", &keywords);
             Step::Restart { limiter: limiter("limiter")?, store: STORE_STATES[store?].0 }
         }
         "freeze" => Step::Freeze { limiter: limiter("limiter")? },
@@ -124,8 +127,8 @@
         "split" => Step::Split { below: section.integer("below", 1..=u64::from(limiters) - 1)? as u32 },
         "link" => Step::Link {
             limiter: limiter("limiter")?,
-            to: SERVICES[section.keyword("to", &SERVICES.map(|(_, word)| word))?].0,
-            state: LINK_STATES[section.keyword("state", &LINK_STATES.map(|(_, word)| word))?].0,
+            to: SERVICES[section.keyword("to", &SERVICES.map(|(_, keyword)| keyword))?].0,
+            state: LINK_STATES[section.keyword("state", &LINK_STATES.map(|(_, keyword)| keyword))?].0,
         },
         "mend" => Step::RestoreLinks,
         "weather" => Step::SetNetworkConditions(read_network_conditions(section)?),
@@ -142,11 +145,11 @@
 }
 
 fn read_network_conditions(section: &Section<'_>) -> Result<NetworkConditions, ConfigError> {
-    let share = |key: &str| section.number_or(key, 0.0..=1.0, 0.0);
+    let fraction = |key: &str| section.number_or(key, 0.0..=1.0, 0.0);
     Ok(NetworkConditions {
-        loss: share("loss")?,
-        duplication: share("double")?,
-        corruption: share("damage")?,
+        loss: fraction("loss")?,
+        duplication: fraction("double")?,
+        corruption: fraction("damage")?,
         max_delay: Duration::from_millis(section.duration_or("late", 0)? / MICROS_PER_MS),
     })
 }
--- a/crates/rehearse/src/tier/timeline/mod.rs
+++ b/crates/rehearse/src/tier/timeline/mod.rs
@@ -1,4 +1,5 @@
-//! Timelines of faults: written in HCL or drawn from a seed, played on a tier, and shortened where they fail.
+//! Timelines of faults. They are written in HCL or generated from a seed, and played on a tier. A failing timeline can
+//! be reduced to the steps that it needs to fail.
 
 mod draw;
 mod hcl;
--- a/crates/rehearse/src/tier/timeline/play.rs
+++ b/crates/rehearse/src/tier/timeline/play.rs
@@ -1,4 +1,4 @@
-//! Plays a timeline on a tier under load, and checks the record afterwards.
+//! Plays a timeline on a tier under load and checks the recorded answers afterwards.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -13,58 +13,61 @@
 use crate::tier::{NetworkConditions, Options, StoreState, Tier, Trigger, CANARY_SETTINGS};
 use crate::Failure;
 
-/// The clocks' difference that the settings of played tiers state, microseconds.
-const BOUND_US: u64 = 100_000;
-/// The plan that a harmful change hits, by its place in the fleet file.
-const HARMED_PLAN: usize = 2;
-/// A harmful change waits until so much is on record for canary analysis to compare with.
-const BASELINE: Duration = Duration::from_secs(8);
-/// Rates in timelines are meant for a plan of this rate, and are scaled to the fleet's.
+/// Maximum difference between the limiters' clocks in the settings of played tiers, in microseconds.
+const MAX_CLOCK_DIFFERENCE_US: u64 = 100_000;
+/// Index in the fleet file of the plan that a harmful change affects.
+const HARMED_PLAN_INDEX: usize = 2;
+/// Recorded time that canary analysis needs as a baseline before a harmful change begins.
+const MIN_BASELINE: Duration = Duration::from_secs(8);
+/// The plan rate that timelines assume, in units per second. Rates in timelines are scaled from it to the rate of the
+/// fleet's plan.
 const REFERENCE_RATE: f64 = 7.2;
 
-/// How a timeline went.
+/// The result of playing a timeline.
 #[derive(Clone, Debug, Serialize)]
 pub struct PlayResult {
-    /// What the checker found in the record.
+    /// The result of checking the recorded answers.
     pub found: CheckReport,
-    /// Changes and undos that were begun.
+    /// Number of changes and undos that were begun.
     pub begun: u32,
-    /// Changes and undos that were rejected at once.
+    /// Number of changes and undos that did not begin.
     pub refused: u32,
-    /// Versions that became active, by the first limiter's history.
+    /// Number of versions that became active, according to the first limiter's history.
     pub made: u32,
-    /// Limiters that lived on and never reported what became of the change begun there.
+    /// Limiters that did not report the outcome of the change begun there.
     pub untold: Vec<u32>,
-    /// Each limiter's diagnostics where they did not agree on one version within a minute after the last fault.
+    /// The diagnostics of each limiter, if the limiters did not agree on one version within a minute after all faults
+    /// were removed. Empty if they did.
     pub stuck: Vec<String>,
-    /// What a harmful change cost, where one was made.
+    /// The cost of the harmful change, if one became active.
     pub ruin: Option<HarmfulChangeCost>,
 }
 
 impl PlayResult {
-    /// Whether everything held.
+    /// Whether no invariant was violated, all outcomes were reported, and the limiters agreed on one version.
     pub fn holds(&self) -> bool {
         self.found.broken.is_empty() && self.untold.is_empty() && self.stuck.is_empty()
     }
 }
 
-/// What is played.
+/// The tier to play timelines on.
 pub struct PlaySetup<'a> {
-    /// The fleet file's contents; plans and classes of the load come from it.
+    /// The fleet. The load uses its plans and classes.
     pub fleet: &'a Fleet,
-    /// The daemon's binary.
+    /// Path of the daemon's binary.
     pub daemon: PathBuf,
-    /// How many limiters the tier has.
+    /// Number of limiters in the tier.
     pub limiters: u32,
-    /// Determines everything random in the tier's network and stand-ins.
+    /// Seed of the random numbers of the relay and the stand-ins.
     pub seed: u64,
 }
 
 impl PlaySetup<'_> {
-    /// Plays a timeline under load; then all faults are taken back, and the record is checked.
+    /// Plays a timeline under load, removes all faults, waits until the limiters agree on one version, and checks the
+    /// recorded answers.
     ///
     /// # Errors
-    /// Where a socket, a file or a daemon can't be had.
+    /// If a socket or file operation fails, or a limiter does not start.
     pub fn run(&self, steps: &[Step]) -> Result<PlayResult, Failure> {
         let tier = Tier::start(self.fleet, self.options(steps))?;
         tier.adopt();
@@ -73,7 +76,7 @@
         for step in steps {
             run.play(step)?;
         }
-        run.take_back_faults();
+        run.remove_faults();
         let has_recovered = tier.eventually(|| run.has_recovered());
         tier.stop_load();
         Ok(run.finish(has_recovered))
@@ -87,10 +90,11 @@
         options
     }
 
-    /// The fewest steps of a failing timeline that still fail, dropping one at a time.
+    /// Reduces a failing timeline to steps that still fail. Tries to remove each step in turn, and keeps it if the
+    /// timeline does not fail without it.
     ///
     /// # Errors
-    /// As [`PlaySetup::run`].
+    /// As for [`PlaySetup::run`].
     pub fn minimize(&self, mut steps: Vec<Step>) -> Result<Vec<Step>, Failure> {
         let mut n = 0;
         while n < steps.len() {
@@ -110,14 +114,17 @@
 struct Run<'a> {
     tier: &'a Tier,
     limiters: u32,
+    /// The plan that ordinary changes affect.
     changed_plan: &'a str,
-    /// From rates in timelines to rates of the changed plan.
+    /// Factor that scales rates in timelines to the changed plan.
     rate_scale: f64,
+    /// The plan that a harmful change affects.
     harmed_plan: &'a str,
     begun: u32,
     rejected: u32,
-    /// Where changes were begun.
-    operators: Vec<u32>,
+    /// Limiters at which changes or undos were begun; a limiter can occur several times.
+    changed_at: Vec<u32>,
+    /// Digest of the document of the harmful change, once it has begun.
     harmful_digest: Option<String>,
 }
 
@@ -129,14 +136,15 @@
             limiters: play.limiters,
             changed_plan: &plans[0].name,
             rate_scale: plans[0].rate / REFERENCE_RATE,
-            harmed_plan: plans.get(HARMED_PLAN).map_or("", |plan| &plan.name),
+            harmed_plan: plans.get(HARMED_PLAN_INDEX).map_or("", |plan| &plan.name),
             begun: 0,
             rejected: 0,
-            operators: Vec::new(),
+            changed_at: Vec::new(),
             harmful_digest: None,
         }
     }
 
+    /// Plays one step.
     fn play(&mut self, step: &Step) -> Result<(), Failure> {
         match step {
             Step::Change { .. } | Step::HarmfulChange { .. } | Step::Undo { .. } => self.play_change(step),
@@ -155,7 +163,7 @@
         Ok(())
     }
 
-    /// Steps of an operator.
+    /// Plays a step that begins a change or an undo.
     fn play_change(&mut self, step: &Step) {
         match step {
             Step::Change { at, rate } => {
@@ -173,7 +181,7 @@
     }
 
     fn play_harmful_change(&mut self, at: u32) {
-        self.tier.eventually(|| self.tier.recorded_duration() >= BASELINE);
+        self.tier.eventually(|| self.tier.recorded_duration() >= MIN_BASELINE);
         let document = self.tier.harmful_document(at, self.harmed_plan);
         let has_begun = self.tier.begin_change(at, &document, "").is_ok();
         self.record_change(at, has_begun);
@@ -182,16 +190,17 @@
         }
     }
 
+    /// Records whether a change or an undo at a limiter has begun.
     fn record_change(&mut self, at: u32, has_begun: bool) {
         if has_begun {
             self.begun += 1;
-            self.operators.push(at);
+            self.changed_at.push(at);
         } else {
             self.rejected += 1;
         }
     }
 
-    /// Steps that end, suspend or start processes.
+    /// Plays a step that kills, restarts, suspends or resumes a process.
     fn play_process_step(&self, step: &Step) -> Result<(), Failure> {
         match step {
             Step::Kill { limiter } => self.tier.kill(*limiter),
@@ -207,16 +216,16 @@
     }
 
     fn play_restart(&self, limiter: u32, store: StoreState) -> Result<(), Failure> {
-        // Where the trigger of its kill has not fired yet, it still runs.
+        // The limiter still runs if the trigger of its kill has not fired yet.
         self.tier.kill(limiter);
         match self.tier.restart(limiter, store) {
-            // The trigger fired as it came up: it is down, as it would be a moment later.
+            // The trigger of a kill fired during the start, which has the same effect as a kill right after the start.
             Err(Failure::Killed { .. }) => Ok(()),
             started => started,
         }
     }
 
-    /// Steps that change links.
+    /// Plays a step that changes links.
     fn play_network_step(&self, step: &Step) {
         let links = self.tier.links();
         match step {
@@ -233,16 +242,18 @@
         }
     }
 
-    fn take_back_faults(&self) {
+    /// Removes all faults except dead processes, which [`Run::has_recovered`] restarts.
+    fn remove_faults(&self) {
         self.tier.links().restore();
         self.tier.links().set_conditions(NetworkConditions::default());
         self.tier.cancel_scheduled();
         (0..self.limiters).for_each(|limiter| self.tier.thaw(limiter));
     }
 
-    /// Whether all limiters run and agree on one version, with nothing under way. Starts those that are down.
+    /// Whether all limiters run and agree on one version, with no change or canary analysis under way. Restarts the
+    /// limiters that are down.
     fn has_recovered(&self) -> bool {
-        // One that a trigger killed last may end only now.
+        // Checked at each poll, since a limiter killed by one of the last triggers may exit only now.
         for limiter in (0..self.limiters).filter(|limiter| self.tier.has_exited(*limiter)) {
             if self.tier.restart(limiter, StoreState::Intact).is_err() {
                 return false;
@@ -253,39 +264,41 @@
     }
 
     fn finish(self, has_recovered: bool) -> PlayResult {
-        let mut found = self.tier.check_invariants(BOUND_US);
+        let mut found = self.tier.check_invariants(MAX_CLOCK_DIFFERENCE_US);
         let ruin = match self.harmful_digest.as_deref() {
-            Some(digest) => self.tier.harmful_change_cost(digest, HARMED_PLAN as u32),
+            Some(digest) => self.tier.harmful_change_cost(digest, HARMED_PLAN_INDEX as u32),
             None => Ok(None),
         };
         let ruin = ruin.unwrap_or_else(|violation| {
             found.broken.push(violation);
             None
         });
-        let untold = self.operators_without_outcome();
-        let made = self.versions_made();
+        let untold = self.limiters_without_outcome();
+        let made = self.activated_versions();
         let stuck = if has_recovered { Vec::new() } else { self.tier.diagnostics() };
         PlayResult { found, begun: self.begun, refused: self.rejected, made, untold, stuck, ruin }
     }
 
-    fn operators_without_outcome(&self) -> Vec<u32> {
+    /// Returns the running limiters that still report an open outcome of a change begun there.
+    fn limiters_without_outcome(&self) -> Vec<u32> {
         let is_open = |limiter: &u32| {
             self.tier.status(*limiter).is_some_and(|status| status["begun_here"]["outcome"] == "open")
         };
-        let mut operators = self.operators.clone();
-        operators.sort_unstable();
-        operators.dedup();
-        operators.into_iter().filter(is_open).collect()
+        let mut limiters = self.changed_at.clone();
+        limiters.sort_unstable();
+        limiters.dedup();
+        limiters.into_iter().filter(is_open).collect()
     }
 
-    fn versions_made(&self) -> u32 {
+    /// Returns the number of versions that became active, according to the first limiter.
+    fn activated_versions(&self) -> u32 {
         let status = self.tier.status(0).unwrap_or_default();
         let history = status["history"].as_array().into_iter().flatten();
         history.filter(|version| version["void"] == false).count() as u32
     }
 }
 
-/// Whether a limiter knows the active version, and has neither a change nor canary analysis under way.
+/// Whether a limiter knows the active version, and no change or canary analysis is under way there.
 fn is_settled(status: &Value) -> bool {
     status["standing"] == "current"
         && status["version"] == status["decided"]
--- a/crates/rehearse/src/tier/timeline/tests.rs
+++ b/crates/rehearse/src/tier/timeline/tests.rs
@@ -1,25 +1,25 @@
-//! Timelines are drawn alike from one seed, read back as written, and refused with their place.
+//! Generated timelines are reproducible, printed timelines parse to the same steps, and errors name their location.
 
 use super::*;
 
 #[test]
-fn a_timeline_is_drawn_alike_and_reads_back_as_it_is_written() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("drawn.hcl");
+fn drawn_timelines_are_reproducible_and_parse_as_printed() {
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let path = directory.path().join("drawn.hcl");
     for seed in 0..200 {
         let steps = draw(seed, 5);
         assert_eq!(steps, draw(seed, 5));
         let text: Vec<String> = steps.iter().map(ToString::to_string).collect();
-        std::fs::write(&path, text.join("\n")).expect("written");
-        assert_eq!(read(&path, 5).expect("in order"), steps, "seed {seed}");
+        std::fs::write(&path, text.join("\n")).expect("the file can be written");
+        assert_eq!(read(&path, 5).expect("the timeline is valid"), steps, "seed {seed}");
     }
 }
 
 #[test]
-fn what_is_no_step_is_told_with_its_place() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("bad.hcl");
-    for (text, why) in [
+fn invalid_steps_are_reported_with_their_location() {
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let path = directory.path().join("bad.hcl");
+    for (text, expected) in [
         (
             "step \"kill\" {\n  limiter = 5\n}\n",
             "bad.hcl:2:13: step \"kill\".limiter: expected a whole number from 0 to 4, found 5",
@@ -27,8 +27,8 @@
         ("step \"burn\" {}\n", "expected step \"change\""),
         ("step \"mend\" {\n  all = true\n}\n", "bad.hcl:2:3: step \"mend\".all: unknown key or block"),
     ] {
-        std::fs::write(&path, text).expect("written");
-        let told = read(&path, 5).expect_err("a fault").to_string();
-        assert!(told.contains(why), "{told}");
+        std::fs::write(&path, text).expect("the file can be written");
+        let error = read(&path, 5).expect_err("the timeline is invalid").to_string();
+        assert!(error.contains(expected), "{error}");
     }
 }
--- a/crates/rehearse/tests/timelines.rs
+++ b/crates/rehearse/tests/timelines.rs
@@ -1,9 +1,9 @@
-//! Compatibility of timelines: existing files are parsed and printed as before, and seeds generate the same timelines.
+//! Compatibility of timelines: existing files parse to the recorded steps, and seeds generate the recorded timelines.
 //!
-//! `tests/timelines` has copies of timelines that must stay readable even if those in `deploy/rehearsals` change.
-//! `tests/recorded` has the expected text of each timeline as printed after parsing. `RECORD_OUTPUT=1` rewrites the
-//! files in `tests/recorded` and fails the test that did so. Use it only for an intended change of the printed text, and
-//! list the changed words in the commit.
+//! `tests/timelines` contains copies of timelines that must stay readable even if those in `deploy/rehearsals` change.
+//! `tests/recorded` contains the text that each timeline is printed as after parsing. With `RECORD_OUTPUT=1`, the tests
+//! rewrite the files in `tests/recorded` and fail. Use it only for an intended change of the printed text, and list the
+//! changed words in the commit.
 
 use std::fmt::Display;
 use std::fs;
@@ -11,16 +11,17 @@
 
 use sedgestack_rehearse::tier::timeline::{draw, read, Step};
 
-/// Number of limiters of the tiers that the timelines are for.
+/// Number of limiters in the tiers that the timelines are written for.
 const LIMITERS: u32 = 5;
-/// Seeds of the generated timelines that are recorded.
+/// Seeds whose generated timelines are recorded.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=12;
 
+/// Returns the path of a directory, given relative to this crate.
 fn directory(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(name)
 }
 
-/// Returns the timelines in a directory by name, sorted.
+/// Returns the names and paths of the timelines in a directory, sorted by name.
 fn timelines(directory: &Path) -> Vec<(String, PathBuf)> {
     let entries = fs::read_dir(directory).expect("the directory is readable");
     let paths = entries.map(|entry| entry.expect("the directory can be listed").path());
@@ -38,12 +39,12 @@
     read(path, LIMITERS).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// Returns the text of a timeline.
+/// Prints a timeline as HCL.
 fn printed(steps: &[Step]) -> String {
     steps.iter().map(|step| format!("{step}\n")).collect()
 }
 
-/// Compares a text with the recorded one, or records it.
+/// Compares a text with the recorded file of the given name. Writes the file instead if `RECORD_OUTPUT` is 1.
 fn compare_or_record(name: impl Display, text: &str) {
     let path = directory("tests/recorded").join(format!("{name}.hcl"));
     if std::env::var("RECORD_OUTPUT").is_ok_and(|set| set == "1") {
@@ -57,7 +58,7 @@
     assert!(text == expected, "{name}: one text is longer than the other");
 }
 
-/// Fails if the texts are being recorded, as a run that compares nothing must not pass.
+/// Fails if `RECORD_OUTPUT` is set, as a run that compares nothing must not pass.
 fn assert_not_recording() {
     assert!(std::env::var_os("RECORD_OUTPUT").is_none(), "texts were recorded, not compared");
 }
--- a/crates/rehearse/tests/timelines/bad-change-stays.hcl
+++ b/crates/rehearse/tests/timelines/bad-change-stays.hcl
@@ -1,4 +1,4 @@
-# The change of bad-change.hcl at a tier that does not watch its changes: what half a minute of it costs.
+# The harmful change of bad-change.hcl on a tier without canary analysis, to measure what 30 seconds of it cost.
 step "ruin" {
   at   = 0
   undo = false
--- a/crates/rehearse/tests/timelines/bad-change.hcl
+++ b/crates/rehearse/tests/timelines/bad-change.hcl
@@ -1,4 +1,4 @@
-# A change ruins a plan; the tier undoes it by itself. Beside it: bad-change-stays.hcl.
+# A harmful change of a plan, which canary analysis rolls back. Compare bad-change-stays.hcl.
 step "ruin" {
   at   = 0
   undo = true
--- a/crates/rehearse/tests/timelines/every-step.hcl
+++ b/crates/rehearse/tests/timelines/every-step.hcl
@@ -1,4 +1,4 @@
-# Every kind of step, with every key and with those left out that have a default.
+# Every kind of step, with all keys, and without the keys that have a default.
 step "change" {
   at   = 1
   rate = 3.6
--- a/crates/rehearse/tests/timelines/one-down.hcl
+++ b/crates/rehearse/tests/timelines/one-down.hcl
@@ -1,4 +1,5 @@
-# A quota is changed while one limiter is down; it comes back under load and must not serve under the old one.
+# A quota is changed while one limiter is down. After its restart under load, that limiter must not serve requests
+# under the old quota.
 step "kill" {
   limiter = 4
 }
--- a/crates/rehearse/tests/timelines/proposer-dies.hcl
+++ b/crates/rehearse/tests/timelines/proposer-dies.hcl
@@ -1,4 +1,5 @@
-# The limiter that begins a change dies as it sends its first accept; the others finish or void it.
+# The limiter that begins a change is killed when it sends its first accept. The other limiters complete or void the
+# change.
 step "kill" {
   limiter = 0
   from    = 0
--- a/crates/rehearse/tests/timelines/split-and-bad-weather.hcl
+++ b/crates/rehearse/tests/timelines/split-and-bad-weather.hcl
@@ -1,4 +1,5 @@
-# The operator's side of a split is the smaller one, and three in ten datagrams are lost throughout.
+# A change begins in the minority of a network partition, and another one in the majority. 30% of all datagrams are lost
+# throughout.
 step "weather" {
   loss   = 0.3
   double = 0.1
