--- a/crates/rehearse/src/tier/cluster.rs
+++ b/crates/rehearse/src/tier/cluster.rs
@@ -75,9 +75,14 @@
 }
 
 impl LimiterProcess {
-    /// Creates a limiter whose files are in `folder`. Writes and starts nothing.
-    pub(super) fn new(folder: &Path, number: u32, listen: SocketAddr, admin: SocketAddr) -> LimiterProcess {
-        let file = |extension: &str| folder.join(format!("n{number}.{extension}"));
+    /// Creates a limiter whose files are in `directory`. Writes and starts nothing.
+    pub(super) fn new(
+        directory: &Path,
+        number: u32,
+        listen: SocketAddr,
+        admin: SocketAddr,
+    ) -> LimiterProcess {
+        let file = |extension: &str| directory.join(format!("n{number}.{extension}"));
         LimiterProcess {
             number,
             listen,
@@ -106,7 +111,7 @@
         let mut settings = platform::settings_json(fleet, self.number);
         settings["caps"]["peerMessages"] = json!(true);
         let links = &stand_ins.service_links[self.number as usize];
-        let peers = &stand_ins.relay.ports[self.number as usize];
+        let peers = &stand_ins.relay.addresses[self.number as usize];
         let config = json!({
             "name": self.name(), "listen": self.listen.to_string(), "ops": self.admin.to_string(),
             "discovery": links.to(Service::Discovery).address.to_string(),
@@ -116,8 +121,8 @@
             "peers": peers.iter().map(ToString::to_string).collect::<Vec<_>>(),
             "known": {"version": 1, "full": true, "servers": stand_ins.endpoints}, "settings": settings,
         });
-        std::fs::write(&self.config, config.to_string()).map_err(io("a configuration"))?;
-        std::fs::write(&self.settings, self.settings_text(options)).map_err(io("settings"))
+        std::fs::write(&self.config, config.to_string()).map_err(io("configuration file"))?;
+        std::fs::write(&self.settings, self.settings_text(options)).map_err(io("settings file"))
     }
 
     /// Returns the text of the settings file: the `tier` block, or nothing for a limiter without consensus.
@@ -143,8 +148,8 @@
                 Ok(())
             }
             StoreState::Truncated => {
-                let bytes = std::fs::read(&self.store).map_err(io("a store"))?;
-                std::fs::write(&self.store, &bytes[..bytes.len() / 3]).map_err(io("a store"))
+                let bytes = std::fs::read(&self.store).map_err(io("store"))?;
+                std::fs::write(&self.store, &bytes[..bytes.len() / 3]).map_err(io("store"))
             }
         }
     }
@@ -172,7 +177,7 @@
     fn command(&self, limiter: u32) -> Command {
         let process = self.process(limiter);
         let mut command = daemons::command(&self.daemon, &process.config);
-        command.env("TMPDIR", self.folder.path()).arg("--settings").arg(&process.settings);
+        command.env("TMPDIR", self.directory.path()).arg("--settings").arg(&process.settings);
         command
     }
 
@@ -265,7 +270,7 @@
     /// If the process can't be started.
     pub fn start_second_process(&self, limiter: u32) -> Result<Option<i32>, Failure> {
         let child = self.command(limiter).spawn().map_err(io(self.daemon.display().to_string()))?;
-        let output = child.wait_with_output().map_err(io("a second process"))?;
+        let output = child.wait_with_output().map_err(io("second process"))?;
         let mut log = locked(&self.process(limiter).log);
         log.extend(String::from_utf8_lossy(&output.stderr).lines().map(String::from));
         Ok(output.status.code())
--- a/crates/rehearse/src/tier/mod.rs
+++ b/crates/rehearse/src/tier/mod.rs
@@ -70,7 +70,7 @@
     customers: Customers,
     load: Mutex<Option<LoadThreads>>,
     /// Directory of the limiters' configurations, settings and stores.
-    folder: TempDir,
+    directory: TempDir,
     _runtime: Runtime,
 }
 
@@ -90,12 +90,12 @@
         let peers: Vec<SocketAddr> =
             (0..options.limiters).map(|limiter| address(number, limiter, PEER_PORT)).collect();
         let stand_ins = runtime.block_on(StandIns::start(&fleet, &options, &peers))?;
-        let folder = TempDir::with_prefix("sedgestack-tier-").map_err(io("a folder"))?;
+        let directory = TempDir::with_prefix("sedgestack-tier-").map_err(io("temporary directory"))?;
         let limiters: Result<Vec<LimiterProcess>, Failure> = (0..options.limiters)
             .map(|limiter| {
                 let listen = address(number, limiter, LISTEN_PORT);
                 let admin = address(number, limiter, ADMIN_PORT);
-                let process = LimiterProcess::new(folder.path(), limiter, listen, admin);
+                let process = LimiterProcess::new(directory.path(), limiter, listen, admin);
                 process.write_configuration(&fleet, &options, &stand_ins, peers[limiter as usize])?;
                 Ok(process)
             })
@@ -107,7 +107,7 @@
             customers: Customers::new(fleet.clone(), options.customers),
             fleet,
             load: Mutex::new(None),
-            folder,
+            directory,
             _runtime: runtime,
         };
         for limiter in tier.limiter_numbers() {
--- a/crates/rehearse/src/tier/relay.rs
+++ b/crates/rehearse/src/tier/relay.rs
@@ -35,8 +35,8 @@
 #[derive(Clone)]
 pub struct Relay {
     state: Arc<Mutex<State>>,
-    /// `ports[i][j]` is where limiter `i` sends datagrams for limiter `j`.
-    pub ports: Vec<Vec<SocketAddr>>,
+    /// `addresses[i][j]` is where limiter `i` sends datagrams for limiter `j`.
+    pub addresses: Vec<Vec<SocketAddr>>,
 }
 
 /// One direction of the link between two limiters.
@@ -53,8 +53,8 @@
     /// Starts the links between limiters that receive datagrams at `listen`.
     pub async fn start(listen: &[SocketAddr], seed: u64) -> Result<Relay, Failure> {
         let sockets = bind_sockets(listen.len()).await?;
-        let address = |s: &Arc<UdpSocket>| s.local_addr().map_err(io("a relay's address"));
-        let ports: Result<Vec<Vec<_>>, _> =
+        let address = |s: &Arc<UdpSocket>| s.local_addr().map_err(io("relay address"));
+        let addresses: Result<Vec<Vec<_>>, _> =
             sockets.iter().map(|row| row.iter().map(address).collect()).collect();
         let state = State {
             conditions: NetworkConditions::default(),
@@ -63,7 +63,7 @@
             rng: StdRng::seed_from_u64(seed),
             counts: DatagramCounts::default(),
         };
-        let relay = Relay { state: Arc::new(Mutex::new(state)), ports: ports? };
+        let relay = Relay { state: Arc::new(Mutex::new(state)), addresses: addresses? };
         for (from, row) in sockets.iter().enumerate() {
             for (to, receive) in row.iter().enumerate().filter(|(to, _)| *to != from) {
                 let link = DirectedLink {
@@ -180,7 +180,7 @@
     for _ in 0..limiters {
         let mut row = Vec::new();
         for _ in 0..limiters {
-            row.push(Arc::new(UdpSocket::bind("127.0.0.1:0").await.map_err(io("a relay's socket"))?));
+            row.push(Arc::new(UdpSocket::bind("127.0.0.1:0").await.map_err(io("relay socket"))?));
         }
         sockets.push(row);
     }
--- a/crates/rehearse/src/tier/service_links.rs
+++ b/crates/rehearse/src/tier/service_links.rs
@@ -44,8 +44,8 @@
     /// # Errors
     /// If no port on loopback can be bound.
     pub async fn start(service: SocketAddr) -> Result<Link, Failure> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("a link's socket"))?;
-        let address = listener.local_addr().map_err(io("a link's address"))?;
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("service link socket"))?;
+        let address = listener.local_addr().map_err(io("service link address"))?;
         let state = Arc::new(watch::channel(LinkState::Open).0);
         let receiver = state.subscribe();
         tokio::spawn(async move {
--- a/crates/rehearse/src/tier/stand_ins.rs
+++ b/crates/rehearse/src/tier/stand_ins.rs
@@ -101,8 +101,8 @@
 impl Backend {
     /// Starts a backend that responds to each request after `latency`.
     async fn start(latency: Duration) -> Result<Backend, Failure> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("a backend's socket"))?;
-        let address = listener.local_addr().map_err(io("a backend's address"))?;
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io("backend socket"))?;
+        let address = listener.local_addr().map_err(io("backend address"))?;
         let task = tokio::spawn(async move {
             let mut connections = JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
--- a/crates/rehearse/src/tier/timeline/play.rs
+++ b/crates/rehearse/src/tier/timeline/play.rs
@@ -34,7 +34,7 @@
     pub refused: u32,
     /// Number of versions that became active, according to the first limiter's history.
     pub made: u32,
-    /// Limiters that did not report the outcome of the change begun there.
+    /// Running limiters that did not report the outcome of the change begun there.
     pub untold: Vec<u32>,
     /// The diagnostics of each limiter, if the limiters did not agree on one version within a minute after all faults
     /// were removed. Empty if they did.
--- a/crates/rehearse/src/tier/timeline/step.rs
+++ b/crates/rehearse/src/tier/timeline/step.rs
@@ -58,7 +58,7 @@
         limiter: u32,
         /// The number of the limiter whose datagrams are counted.
         from: u32,
-        /// The kind of datagram counted, one of [`DATAGRAM_KINDS`].
+        /// The kind of datagram counted, one of `DATAGRAM_KINDS`.
         kind: &'static str,
         /// Which datagram of the kind triggers the kill; 1 is the first.
         nth: u32,
