--- a/crates/rehearse/src/tier/invariants.rs
+++ b/crates/rehearse/src/tier/invariants.rs
@@ -1,5 +1,5 @@
-//! Checks the invariants of consensus from the answers that clients recorded and the histories that all limiters report,
-//! so that no single limiter's view decides.
+//! Checks the invariants of consensus. The checks use the answers that clients recorded and the histories of all
+//! limiters, so that no single limiter's view decides.
 //!
 //! - One history: all limiters that report a version report the same document and activation time for it.
 //! - One version at a time: the version that an answer names was active at some time between the sending of the request
@@ -227,8 +227,8 @@
     pub tries: usize,
     /// Number of these requests that were not served.
     pub lost: usize,
-    /// Total value of the requests that were not served. The value of a request is the priority weight of the first class
-    /// times the plan's price.
+    /// Total value of the requests that were not served. The value of a request is the priority weight of the first
+    /// class times the plan's price.
     pub worth_lost: f64,
 }
 
