--- a/crates/capture/src/error.rs
+++ b/crates/capture/src/error.rs
@@ -17,7 +17,7 @@
     },
     /// The file has no valid header of this version.
     #[error("{file}: at byte {offset}: {why}")]
-    Foreign {
+    InvalidHeader {
         /// Path of the file, or the name that the caller gave it.
         file: String,
         /// Bytes from the beginning of the file to the part of the header that is wrong.
--- a/crates/capture/src/error/tests.rs
+++ b/crates/capture/src/error/tests.rs
@@ -12,7 +12,7 @@
         (HeaderError::Undecodable(undecodable.clone()), format!("its header can't be read: {undecodable}")),
     ];
     for (why, text) in texts {
-        let error = ReadError::Foreign { file: "f".into(), offset: 8, why };
+        let error = ReadError::InvalidHeader { file: "f".into(), offset: 8, why };
         assert_eq!(error.to_string(), format!("f: at byte 8: {text}"));
     }
 }
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -28,7 +28,7 @@
 pub fn read(file: &str, mut from: impl Read) -> Result<Capture, ReadError> {
     let mut bytes = Vec::new();
     from.read_to_end(&mut bytes).map_err(|why| ReadError::Io { file: file.into(), why })?;
-    let (header, blocks_offset) = read_header(&bytes).map_err(|error| ReadError::Foreign {
+    let (header, blocks_offset) = read_header(&bytes).map_err(|error| ReadError::InvalidHeader {
         file: file.into(),
         offset: error.offset as u64,
         why: error.why,
--- a/crates/capture/src/writer.rs
+++ b/crates/capture/src/writer.rs
@@ -61,7 +61,7 @@
     }
 
     /// Counts records that were lost.
-    pub fn dropped(&mut self, records: u64) {
+    pub fn record_dropped(&mut self, records: u64) {
         self.block.dropped += records;
     }
 
--- a/crates/capture/tests/captures.rs
+++ b/crates/capture/tests/captures.rs
@@ -182,7 +182,7 @@
 fn missing_limiters_and_dropped_records_are_warned_of() {
     let mut writer = Writer::new(Vec::new(), &header(0)).expect("memory");
     writer.push(record(1_700_000_000_000_000, 0, Outcome::Served), None).expect("memory");
-    writer.dropped(42);
+    writer.record_dropped(42);
     let capture = read("f", &writer.finish().expect("memory")[..]).expect("a capture");
     let merged = merge(vec![capture]).expect("one tier");
     assert!(merged.warnings.contains(&Warning::Missing(vec![1, 2])));
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -111,7 +111,7 @@
     for (place, record) in capture.records.iter().enumerate() {
         if place == FIRST_BLOCK {
             writer.flush().expect("memory takes it");
-            writer.dropped(capture.dropped);
+            writer.record_dropped(capture.dropped);
         }
         let destination = record.destination.map(|d| capture.destinations[usize::from(d)].as_str());
         writer.push(record.clone(), destination).expect("memory takes it");
--- a/crates/fleet/src/decode/machines.rs
+++ b/crates/fleet/src/decode/machines.rs
@@ -20,9 +20,10 @@
         slow_start: section.duration_or("cold", 0)?,
         connections: section.integer_or("connections", 1..=1_000_000, 1_000)? as u32,
         handshake: section.duration_or("handshake", MILLIS)?,
-        cancel: [Cancel::Queued, Cancel::Ignored][section.keyword_or_first("cancel", &["queued", "none"])?],
+        cancel: [CancelPolicy::Queued, CancelPolicy::Ignored]
+            [section.keyword_or_first("cancel", &["queued", "none"])?],
         drops_expired: section.bool_or("drops_expired", true)?,
-        report_every: section.duration_or("report_every", 500 * MILLIS)?.max(MILLIS),
+        report_interval: section.duration_or("report_every", 500 * MILLIS)?.max(MILLIS),
         report_delay: section.duration_or("report_delay", 0)?,
         report_noise: section.number_or("report_noise", 0.0..=1.0, 0.0)?,
         error_share: section.number_or("error_share", 0.0..=1.0, 0.0)?,
@@ -72,7 +73,7 @@
         delay: section.duration_or("delay", MILLIS)?,
         timeout: section.duration("timeout")?,
         queue_capacity: section.integer_or("line", 1..=1_000_000, 64)? as u32,
-        back_after: section.duration_or("back_after", 5 * SECONDS)?,
+        recovery_time: section.duration_or("back_after", 5 * SECONDS)?,
     };
     section.reject_unknown_keys()?;
     Ok(counter)
@@ -92,17 +93,17 @@
 pub(super) fn discovery(section: Option<Section<'_>>) -> Result<Discovery, ConfigError> {
     let spans = |low, high| (low * MILLIS, high * MILLIS);
     let mut discovery = Discovery {
-        notice: spans(800, 3_200),
-        silent_notice: spans(8_000, 13_000),
-        add: spans(300, 2_400),
-        front_notice: spans(900, 3_900),
+        removal_delay: spans(800, 3_200),
+        silent_removal_delay: spans(8_000, 13_000),
+        addition_delay: spans(300, 2_400),
+        limiter_removal_delay: spans(900, 3_900),
     };
     if let Some(section) = section {
         for (key, place) in [
-            ("notice_s", &mut discovery.notice),
-            ("silent_notice_s", &mut discovery.silent_notice),
-            ("add_s", &mut discovery.add),
-            ("front_notice_s", &mut discovery.front_notice),
+            ("notice_s", &mut discovery.removal_delay),
+            ("silent_notice_s", &mut discovery.silent_removal_delay),
+            ("add_s", &mut discovery.addition_delay),
+            ("front_notice_s", &mut discovery.limiter_removal_delay),
         ] {
             if section.contains(key) {
                 let (low, high) = section.range(key, 0.0..=3_600.0)?;
@@ -117,23 +118,23 @@
 pub(super) fn rules(section: Option<Section<'_>>) -> Result<PlatformRules, ConfigError> {
     let mut rules = PlatformRules {
         drain_grace: 250 * MILLIS,
-        fall_multiple: 4.0,
-        fall_window: 2 * SECONDS,
+        overload_multiple: 4.0,
+        overload_window: 2 * SECONDS,
         max_attempts: 4,
         max_retry_after: 500 * MILLIS,
         connect_timeout: 250 * MILLIS,
         keepalive: 30 * SECONDS,
-        most_units: DEFAULT_MOST_UNITS,
+        max_units: DEFAULT_MOST_UNITS,
     };
     if let Some(section) = section {
         rules.drain_grace = section.duration_or("drain_grace", rules.drain_grace)?;
-        rules.fall_multiple = section.number_or("fall_multiple", 1.0..=1e6, rules.fall_multiple)?;
-        rules.fall_window = section.duration_or("fall_window", rules.fall_window)?.max(MILLIS);
+        rules.overload_multiple = section.number_or("fall_multiple", 1.0..=1e6, rules.overload_multiple)?;
+        rules.overload_window = section.duration_or("fall_window", rules.overload_window)?.max(MILLIS);
         rules.max_attempts = section.integer_or("max_attempts", 1..=16, 4)? as u32;
         rules.max_retry_after = section.duration_or("max_retry_after", rules.max_retry_after)?;
         rules.connect_timeout = section.duration_or("connect_timeout", rules.connect_timeout)?;
         rules.keepalive = section.duration_or("keepalive", rules.keepalive)?;
-        rules.most_units = most_units(&section)?;
+        rules.max_units = most_units(&section)?;
         section.reject_unknown_keys()?;
     }
     Ok(rules)
--- a/crates/fleet/src/decode/workload.rs
+++ b/crates/fleet/src/decode/workload.rs
@@ -83,17 +83,17 @@
         wave: section.number_or("wave", 0.0..=1.0, 0.0)?,
         wave_period: section.duration_or("wave_period", 30 * SECONDS)?.max(SECONDS),
         usual_use: range_or(section, "usual_use", 1.0, (0.2, 0.45))?,
-        full: section.number_or("full", 0.0..=1.0, 0.15)?,
-        heavy: section.number_or("heavy", 0.0..=1.0, 0.1)?,
-        heavy_times: range_or(section, "heavy_times", 1e3, (2.0, 4.0))?,
-        spiky: section.number_or("spiky", 0.0..=1.0, 0.15)?,
-        spike_times: range_or(section, "spike_times", 1e3, (4.5, 7.9))?,
-        spike_for: range_or(section, "spike_for_s", 1e6, (0.6, 3.7))?,
-        spike_every: range_or(section, "spike_every_s", 1e6, (11.0, 25.0))?,
+        full_share: section.number_or("full", 0.0..=1.0, 0.15)?,
+        heavy_share: section.number_or("heavy", 0.0..=1.0, 0.1)?,
+        heavy_multiple: range_or(section, "heavy_times", 1e3, (2.0, 4.0))?,
+        spiky_share: section.number_or("spiky", 0.0..=1.0, 0.15)?,
+        spike_multiple: range_or(section, "spike_times", 1e3, (4.5, 7.9))?,
+        spike_duration: range_or(section, "spike_for_s", 1e6, (0.6, 3.7))?,
+        spike_interval: range_or(section, "spike_every_s", 1e6, (11.0, 25.0))?,
         skew: section.number_or("skew", 0.0..=10.0, 1.2)?,
-        shift_every: section.duration_or("shift_every", 6 * SECONDS)?.max(SECONDS),
+        skew_interval: section.duration_or("shift_every", 6 * SECONDS)?.max(SECONDS),
     };
-    if load.full + load.heavy + load.spiky > 1.0 {
+    if load.full_share + load.heavy_share + load.spiky_share > 1.0 {
         return Err(section.error_at("spiky", "expected full, heavy and spiky to add up to 1 at most"));
     }
     if load.usual_use.0 <= 0.0 {
@@ -104,11 +104,12 @@
 }
 
 pub(super) fn clients(section: Option<Section<'_>>) -> Result<Clients, ConfigError> {
-    let mut clients = Clients { retries: 0.7, backoff: 150 * MILLIS, honour: 0.6, abandon_after: (0.5, 1.0) };
+    let mut clients =
+        Clients { retries: 0.7, backoff: 150 * MILLIS, honour_share: 0.6, abandon_after: (0.5, 1.0) };
     if let Some(section) = section {
         clients.retries = section.number_or("retries", 0.0..=1.0, clients.retries)?;
         clients.backoff = section.duration_or("backoff", clients.backoff)?;
-        clients.honour = section.number_or("honour", 0.0..=1.0, clients.honour)?;
+        clients.honour_share = section.number_or("honour", 0.0..=1.0, clients.honour_share)?;
         clients.abandon_after = range_or(&section, "gives_up", 1.0, clients.abandon_after)?;
         section.reject_unknown_keys()?;
     }
@@ -120,7 +121,7 @@
     let surge = Surge {
         class: section.keyword("class", &names)?,
         from: section.duration("from")?,
-        span: section.duration("for")?,
+        duration: section.duration("for")?,
         arrivals: section.number_or("arrivals", 0.0..=100.0, 1.0)?,
         work: section.number_or("work", 0.01..=100.0, 1.0)?,
     };
@@ -134,7 +135,7 @@
 pub(super) fn growth(section: &Section<'_>) -> Result<Growth, ConfigError> {
     let by = [GrowthBy::Customers, GrowthBy::Use][section.keyword_or_first("by", &["customers", "use"])?];
     let growth = Growth {
-        load: section.number("load", 0.01..=100.0)?,
+        factor: section.number("load", 0.01..=100.0)?,
         by,
         uncertainty: section.number_or("uncertainty", 0.0..=1.0, 0.1)?,
     };
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -16,7 +16,7 @@
 use sedgestack_hcl::Document;
 
 pub use machines::{
-    BackendKind, BackendLocation, Cancel, Counter, Delays, Discovery, Limiter, PlatformRules, Zone,
+    BackendKind, BackendLocation, CancelPolicy, Counter, Delays, Discovery, Limiter, PlatformRules, Zone,
 };
 pub use sedgestack_hcl::{ConfigError, Micros};
 pub use workload::{Class, Clients, Growth, GrowthBy, Idempotency, KeyScope, Load, Plan, Surge};
@@ -73,7 +73,7 @@
 
 impl Fleet {
     /// The fleet under a version of its runtime configuration.
-    pub fn with_rules(&self, rules: &sedgestack_runtime_config::Document) -> Fleet {
+    pub fn with_runtime_config(&self, rules: &sedgestack_runtime_config::Document) -> Fleet {
         let mut fleet = self.clone();
         for plan in &mut fleet.plans {
             if let Some(new) = rules.plans.get(&plan.name) {
--- a/crates/fleet/src/machines.rs
+++ b/crates/fleet/src/machines.rs
@@ -28,7 +28,7 @@
 
 /// What a backend does with queued work that was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cancel {
+pub enum CancelPolicy {
     /// It is begun all the same.
     Ignored,
     /// It is dropped while it waits; begun work goes on.
@@ -63,11 +63,11 @@
     /// CPU of a new connection, microseconds of a core.
     pub handshake: Micros,
     /// What becomes of queued work that was cancelled.
-    pub cancel: Cancel,
+    pub cancel: CancelPolicy,
     /// Whether queued work past its deadline is dropped.
     pub drops_expired: bool,
     /// How often load reports are renewed.
-    pub report_every: Micros,
+    pub report_interval: Micros,
     /// How much later a load report is visible to limiters.
     pub report_delay: Micros,
     /// Noise of load reports, as a share.
@@ -90,7 +90,7 @@
     /// Calls that may be queued.
     pub queue_capacity: u32,
     /// Where its zone is lost, it is back elsewhere after this, empty.
-    pub back_after: Micros,
+    pub recovery_time: Micros,
 }
 
 /// What a limiter has and costs.
@@ -110,13 +110,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Discovery {
     /// From a backend's death until limiters are notified.
-    pub notice: (Micros, Micros),
+    pub removal_delay: (Micros, Micros),
     /// The same for a backend whose machine fell silent.
-    pub silent_notice: (Micros, Micros),
+    pub silent_removal_delay: (Micros, Micros),
     /// From a backend's start until limiters are notified.
-    pub add: (Micros, Micros),
+    pub addition_delay: (Micros, Micros),
     /// From a limiter's death until clients' load balancer passes it over.
-    pub front_notice: (Micros, Micros),
+    pub limiter_removal_delay: (Micros, Micros),
 }
 
 /// The rules of the platform that limiters keep.
@@ -125,9 +125,9 @@
     /// How long before a backend's announced end limiters stop sending to it.
     pub drain_grace: Micros,
     /// A backend that is warming up fails once it is sent more than this many times its present capacity.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// The window over which that is measured.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// Attempts of one request.
     pub max_attempts: u32,
     /// The longest hint in a rejection after which a retry is welcome.
@@ -137,7 +137,7 @@
     /// After which backends close idle connections.
     pub keepalive: Micros,
     /// Units that one request may declare.
-    pub most_units: u32,
+    pub max_units: u32,
 }
 
 /// Where one backend is. Backends are numbered zone by zone, kind by kind.
--- a/crates/fleet/src/platform.rs
+++ b/crates/fleet/src/platform.rs
@@ -48,12 +48,12 @@
                  "retryAfter": rules.max_retry_after > 0, "secondCopies": true},
         "discovery": "push",
         "familyInfo": {"costAfter": false, "countWaitMs": ms(fleet.counter.timeout), "hasCounter": true,
-                       "meteringMs": 0.0, "mostUnits": rules.most_units},
+                       "meteringMs": 0.0, "mostUnits": rules.max_units},
         "granularityMs": 4.0, "locality": fleet.zones[zone].name, "nInstances": fleet.limiter_count(),
         "selfIndex": number, "plans": plans, "profiles": profiles,
         "report": {"columns": ["util", "latency_ms"]},
-        "rules": {"coldFrom": slow_start_share, "coldMs": ms(slow_start), "fallMs": ms(rules.fall_window),
-                  "fallMultiple": rules.fall_multiple, "stopSendingWithinMs": ms(rules.drain_grace)}
+        "rules": {"coldFrom": slow_start_share, "coldMs": ms(slow_start), "fallMs": ms(rules.overload_window),
+                  "fallMultiple": rules.overload_multiple, "stopSendingWithinMs": ms(rules.drain_grace)}
     })
 }
 
--- a/crates/fleet/src/workload.rs
+++ b/crates/fleet/src/workload.rs
@@ -85,23 +85,23 @@
     /// Use of usual customers, as a share of their quota.
     pub usual_use: (f64, f64),
     /// Share of customers that use nearly all of their quota.
-    pub full: f64,
+    pub full_share: f64,
     /// Share of customers that ask for a multiple of their quota.
-    pub heavy: f64,
+    pub heavy_share: f64,
     /// That multiple: least and most.
-    pub heavy_times: (f64, f64),
+    pub heavy_multiple: (f64, f64),
     /// Share of customers whose use spikes.
-    pub spiky: f64,
+    pub spiky_share: f64,
     /// Use in a spike as a multiple of the quota: least and most.
-    pub spike_times: (f64, f64),
+    pub spike_multiple: (f64, f64),
     /// How long a spike lasts, seconds: least and most.
-    pub spike_for: (f64, f64),
+    pub spike_duration: (f64, f64),
     /// How long it is from one spike to the next, seconds: least and most.
-    pub spike_every: (f64, f64),
+    pub spike_interval: (f64, f64),
     /// How unevenly a customer's requests come through its limiters; 0 is even.
     pub skew: f64,
     /// How often that is drawn anew.
-    pub shift_every: Micros,
+    pub skew_interval: Micros,
 }
 
 /// What clients do of themselves.
@@ -112,7 +112,7 @@
     /// The least time before a retry.
     pub backoff: Micros,
     /// Share of retries that honour a Retry-After.
-    pub honour: f64,
+    pub honour_share: f64,
     /// A try is abandoned after this part of its class's deadline: least and most.
     pub abandon_after: (f64, f64),
 }
@@ -125,7 +125,7 @@
     /// When the surge begins.
     pub from: Micros,
     /// How long it lasts.
-    pub span: Micros,
+    pub duration: Micros,
     /// Arrivals as a multiple of the usual ones.
     pub arrivals: f64,
     /// Work as a multiple of the usual one.
@@ -136,7 +136,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Growth {
     /// The factor.
-    pub load: f64,
+    pub factor: f64,
     /// What grows.
     pub by: GrowthBy,
     /// How uncertain the factor is, as a share of it.
--- a/crates/kit/src/versions.rs
+++ b/crates/kit/src/versions.rs
@@ -195,11 +195,11 @@
     before: &Document,
     next: &Document,
 ) -> Result<Vec<PlanImpact>, KitError> {
-    let fleet = read_fleet(fleet)?.with_rules(before);
+    let fleet = read_fleet(fleet)?.with_runtime_config(before);
     let bar = progress_bar();
     bar.set_message("simulating both versions");
     let source = load_source(&fleet, captures)?;
-    let found = impact(&fleet, &fleet.with_rules(next), &source, SEEDS);
+    let found = impact(&fleet, &fleet.with_runtime_config(next), &source, SEEDS);
     bar.finish_and_clear();
     Ok(found)
 }
--- a/crates/model/src/backend.rs
+++ b/crates/model/src/backend.rs
@@ -7,7 +7,7 @@
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, VecDeque};
 
-use sedgestack_fleet::{BackendKind, Cancel, Micros, PlatformRules};
+use sedgestack_fleet::{BackendKind, CancelPolicy, Micros, PlatformRules};
 
 /// Interval at which the capacity is recomputed while a backend warms up.
 const WARM_UP_STEP: Micros = 50_000;
@@ -101,7 +101,7 @@
     queue: VecDeque<Job>,
     /// Number of requests started so far.
     jobs_started: u64,
-    /// Time and work of each request that arrived within the last `fall_window`; kept during warm-up only.
+    /// Time and work of each request that arrived within the last `overload_window`; kept during warm-up only.
     recent_arrivals: VecDeque<(Micros, f64)>,
     /// Sum of the work in `recent_arrivals`.
     recent_work: f64,
@@ -226,14 +226,14 @@
     /// moment first.
     pub fn offer(&mut self, job: Job) -> Admission {
         if self.is_warming_up(self.now) {
-            let window_start = self.now.saturating_sub(self.rules.fall_window);
+            let window_start = self.now.saturating_sub(self.rules.overload_window);
             while self.recent_arrivals.front().is_some_and(|(at, _)| *at < window_start) {
                 self.recent_work -= self.recent_arrivals.pop_front().map_or(0.0, |(_, work)| work);
             }
             self.recent_arrivals.push_back((self.now, job.work));
             self.recent_work += job.work;
             let capacity = f64::from(self.kind.cores) * self.speed * self.capacity_share(self.now);
-            let max_work = self.rules.fall_multiple * capacity * self.rules.fall_window as f64;
+            let max_work = self.rules.overload_multiple * capacity * self.rules.overload_window as f64;
             if self.recent_work > max_work {
                 return Admission::Crashed;
             }
@@ -252,7 +252,7 @@
     /// Handles the cancellation of a request. Returns whether the request was removed from the queue.
     pub fn cancel(&mut self, id: u64) -> bool {
         let index = self.queue.iter().position(|j| j.id == id);
-        match index.filter(|_| self.kind.cancel == Cancel::Queued) {
+        match index.filter(|_| self.kind.cancel == CancelPolicy::Queued) {
             Some(index) => self.queue.remove(index).is_some(),
             None => false,
         }
--- a/crates/model/src/demand.rs
+++ b/crates/model/src/demand.rs
@@ -117,11 +117,11 @@
 /// Returns the units per second that a customer of `plan` asks for within its quota on average.
 fn expected_units_within_quota(load: &Load, plan: &Plan) -> f64 {
     let usual = (load.usual_use.0 + load.usual_use.1) / 2.0;
-    let rest = 1.0 - load.full - load.heavy - load.spiky;
-    let spike_length = (load.spike_for.0 + load.spike_for.1) / 2.0;
-    let spike_part = spike_length / (spike_length + (load.spike_every.0 + load.spike_every.1) / 2.0);
+    let rest = 1.0 - load.full_share - load.heavy_share - load.spiky_share;
+    let spike_length = (load.spike_duration.0 + load.spike_duration.1) / 2.0;
+    let spike_part = spike_length / (spike_length + (load.spike_interval.0 + load.spike_interval.1) / 2.0);
     let spiky = usual * (1.0 - spike_part) + spike_part;
-    plan.rate * (rest * usual + load.full * 0.95 + load.heavy + load.spiky * spiky)
+    plan.rate * (rest * usual + load.full_share * 0.95 + load.heavy_share + load.spiky_share * spiky)
 }
 
 /// Draws the load profile of customer `number` of a plan.
@@ -133,18 +133,18 @@
     let quota_use = uniform_between(rng, load.usual_use);
     let mut spikes = Vec::new();
     // Customers with a full quota use 95 % of it.
-    let quota_use = if kind_draw < load.full {
+    let quota_use = if kind_draw < load.full_share {
         0.95
-    } else if kind_draw < load.full + load.heavy {
-        uniform_between(rng, load.heavy_times)
+    } else if kind_draw < load.full_share + load.heavy_share {
+        uniform_between(rng, load.heavy_multiple)
     } else {
-        if kind_draw < load.full + load.heavy + load.spiky {
-            let mut at = uniform_between(rng, (0.0, load.spike_every.1));
+        if kind_draw < load.full_share + load.heavy_share + load.spiky_share {
+            let mut at = uniform_between(rng, (0.0, load.spike_interval.1));
             while (at * 1e6) < load.length as f64 {
-                let length = uniform_between(rng, load.spike_for);
-                let factor = uniform_between(rng, load.spike_times) / quota_use;
+                let length = uniform_between(rng, load.spike_duration);
+                let factor = uniform_between(rng, load.spike_multiple) / quota_use;
                 spikes.push(((at * 1e6) as Micros, ((at + length) * 1e6) as Micros, factor));
-                at += length + uniform_between(rng, load.spike_every).max(MIN_SPIKE_GAP_S);
+                at += length + uniform_between(rng, load.spike_interval).max(MIN_SPIKE_GAP_S);
             }
         }
         quota_use
@@ -162,7 +162,7 @@
 
 /// Returns the factors by which surges raise the arrival rate and the work of a class at `at`.
 fn surge_factors_at(surges: &[Surge], class: usize, at: Micros) -> (f64, f64) {
-    let within = |s: &&Surge| s.class == class && (s.from..s.from + s.span).contains(&at);
+    let within = |s: &&Surge| s.class == class && (s.from..s.from + s.duration).contains(&at);
     surges.iter().filter(within).fold((1.0, 1.0), |(a, w), s| (a * s.arrivals, w * s.work))
 }
 
@@ -172,7 +172,7 @@
 /// requests by a Poisson process whose rate changes with the waves, spikes and surges of the file.
 pub fn draw(fleet: &Fleet, seed: u64) -> Demand {
     let load = &fleet.load;
-    let max_units = fleet.rules.most_units;
+    let max_units = fleet.rules.max_units;
     let units: Vec<f64> = fleet.classes.iter().map(|c| mean_units(c, max_units)).collect();
     let mean: f64 = fleet.classes.iter().zip(&units).map(|(c, u)| c.share * u).sum();
     let mut arrivals = Vec::new();
@@ -246,7 +246,7 @@
             class,
             plan: profile.plan,
             customer: profile.id,
-            units: units_for_work(work, class_spec, fleet.rules.most_units),
+            units: units_for_work(work, class_spec, fleet.rules.max_units),
             work: work * surge_factors_at(&fleet.surges, class, now).1,
             spread: profile.spread,
             first_limiter: profile.first_limiter,
@@ -257,7 +257,7 @@
 
 /// Draws the limiter to which a customer sends a request at a given time.
 ///
-/// The limiter is one of the customer's set, drawn by weights that change every `shift_every`. The higher the skew of
+/// The limiter is one of the customer's set, drawn by weights that change every `skew_interval`. The higher the skew of
 /// the load, the more the weights differ. Limiters that are `down` are chosen only if the whole set is down.
 pub fn draw_limiter(
     load: &Load,
@@ -268,7 +268,7 @@
     down: &[bool],
     rng: &mut Stream,
 ) -> u32 {
-    let epoch = (at + mix_bits(arrival.customer) % load.shift_every) / load.shift_every;
+    let epoch = (at + mix_bits(arrival.customer) % load.skew_interval) / load.skew_interval;
     let weights = &mut stream(seed, Concern::Clients, mix_bits(arrival.customer).wrapping_add(epoch));
     let normal = Normal::new(0.0, load.skew).expect("a validated skew is finite");
     let spread = arrival.spread.clamp(1, limiters);
--- a/crates/model/src/demand/tests.rs
+++ b/crates/model/src/demand/tests.rs
@@ -5,8 +5,8 @@
 #[test]
 fn drawn_demand_has_configured_rate_and_shares() {
     let mut fleet = crate::tests_support::sample();
-    fleet.load.heavy = 0.0;
-    fleet.load.spiky = 0.0;
+    fleet.load.heavy_share = 0.0;
+    fleet.load.spiky_share = 0.0;
     let demand = draw(&fleet, 1);
     let rate = demand.arrivals.len() as f64 / (fleet.load.length as f64 / 1e6);
     assert!((rate / fleet.load.rate - 1.0).abs() < 0.12, "{rate}");
@@ -20,7 +20,7 @@
 #[test]
 fn surge_raises_arrivals_and_work_of_its_class_only() {
     let mut fleet = crate::tests_support::sample();
-    let surge = Surge { class: 1, from: 20_000_000, span: 10_000_000, arrivals: 3.0, work: 2.0 };
+    let surge = Surge { class: 1, from: 20_000_000, duration: 10_000_000, arrivals: 3.0, work: 2.0 };
     fleet.surges.push(surge);
     let demand = draw(&fleet, 3);
     let rate = |class, from: u64, to: u64| {
--- a/crates/model/src/sim/backends.rs
+++ b/crates/model/src/sim/backends.rs
@@ -124,7 +124,7 @@
         for (index, speed) in backend_speeds(self.fleet, self.seed).into_iter().enumerate() {
             let backend = index as u32;
             let kind = self.kind_of(backend);
-            let phase = rng.random_range(0..kind.report_every);
+            let phase = rng.random_range(0..kind.report_interval);
             self.backends.push(BackendHost::new(kind, self.fleet, speed));
             self.at(phase, Event::LoadReport { backend });
         }
@@ -296,7 +296,7 @@
         self.update_endpoint(
             backend,
             false,
-            if is_silent { discovery.silent_notice } else { discovery.notice },
+            if is_silent { discovery.silent_removal_delay } else { discovery.removal_delay },
         );
     }
 
@@ -324,7 +324,7 @@
         let process = SimulatedBackend::new(kind, &self.fleet.rules, host.speed, Some(self.now), self.now);
         host.process = Some(process);
         host.last_busy = 0.0;
-        self.update_endpoint(backend, true, self.fleet.discovery.add);
+        self.update_endpoint(backend, true, self.fleet.discovery.addition_delay);
     }
 
     /// Changes a backend's endpoint in service discovery, which notifies each limiter after a delay between the given
@@ -362,7 +362,7 @@
         }
         self.schedule_wakeup(backend);
         if self.is_running() {
-            self.at(self.now + kind.report_every, Event::LoadReport { backend });
+            self.at(self.now + kind.report_interval, Event::LoadReport { backend });
         }
     }
 
--- a/crates/model/src/sim/clients.rs
+++ b/crates/model/src/sim/clients.rs
@@ -138,7 +138,7 @@
             self.scorer.record_closed(u64::from(client_try.arrival));
             return;
         }
-        let is_honoured = retry_after > 0 && honour_draw < clients.honour;
+        let is_honoured = retry_after > 0 && honour_draw < clients.honour_share;
         let wait = if is_honoured { retry_after.max(clients.backoff) } else { clients.backoff };
         self.at(self.now + wait, Event::ClientRetry { request });
     }
--- a/crates/model/src/sim/faults.rs
+++ b/crates/model/src/sim/faults.rs
@@ -47,7 +47,7 @@
             }
         }
         if self.fleet.counter.zone == zone {
-            self.lose_counter(self.fleet.counter.back_after);
+            self.lose_counter(self.fleet.counter.recovery_time);
         }
     }
 
@@ -66,7 +66,7 @@
 
     /// Lets the clients' load balancer detect, after a delay, that a limiter is down or up again.
     fn notify_load_balancer(&mut self, number: u32, is_down: bool) {
-        let (low, high) = self.fleet.discovery.front_notice;
+        let (low, high) = self.fleet.discovery.limiter_removal_delay;
         let wait = if high > low { self.network.random_range(low..=high) } else { low };
         let incarnation = self.limiters[number as usize].incarnation;
         self.at(self.now + wait, Event::LoadBalancerDetects { limiter: number, is_down, incarnation });
--- a/crates/plan/src/first_tries.rs
+++ b/crates/plan/src/first_tries.rs
@@ -135,7 +135,7 @@
     ) -> Demand {
         let rng = &mut stream(seed, Concern::Resampling, COPY_STREAM);
         let work_rng = &mut stream(seed, Concern::Work, WORK_STREAM);
-        let most_units = fleet.rules.most_units;
+        let most_units = fleet.rules.max_units;
         let mut arrivals = Vec::with_capacity(self.tries.len());
         for first_try in &self.tries {
             for copy in 0..draw_copy_count(first_try.weight, rng) {
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -116,7 +116,7 @@
 /// Makes a capacity plan for a fleet under the load of `source`, with `seeds` simulated runs behind every figure.
 pub fn plan(fleet: &Fleet, source: &Source, seeds: u32, progress: Progress<'_>) -> Plan {
     let growth = fleet.growth.as_ref();
-    let factor = growth.map_or(1.0, |growth| growth.load);
+    let factor = growth.map_or(1.0, |growth| growth.factor);
     let by = growth.map_or(GrowthBy::Customers, |growth| growth.by);
     progress("the fleet as it is", 0.0);
     let load = observed_load::observed_load(fleet, source);
@@ -157,13 +157,13 @@
 
 fn stated_busiest_day(fleet: &Fleet, source: &Source, growth: &Growth, seeds: u32) -> BusiestDay {
     let least_at = |sign: f64| {
-        let factor = growth.load * (1.0 + sign * growth.uncertainty);
+        let factor = growth.factor * (1.0 + sign * growth.uncertainty);
         search::least(fleet, source, factor, growth.by, seeds).backends
     };
     BusiestDay::Stated {
-        growth: growth.load,
+        growth: growth.factor,
         uncertainty: growth.uncertainty,
-        seen_part: (1.0 / growth.load).min(1.0),
+        seen_part: (1.0 / growth.factor).min(1.0),
         least_low: least_at(-1.0),
         least_high: least_at(1.0),
     }
--- a/crates/plan/tests/plans.rs
+++ b/crates/plan/tests/plans.rs
@@ -45,7 +45,7 @@
 fn work_surge_breaks_objective_that_run_mean_meets() {
     let mut fleet = sample(40);
     fleet.load.rate *= 0.7;
-    fleet.surges.push(Surge { class: 1, from: 15 * SECOND, span: 10 * SECOND, arrivals: 3.5, work: 3.0 });
+    fleet.surges.push(Surge { class: 1, from: 15 * SECOND, duration: 10 * SECOND, arrivals: 3.5, work: 3.0 });
     let source = captured(&fleet, 4);
     let class = &source.fit().expect("a capture is fitted").classes[1];
     assert!((15..25).contains(&class.highest_at_s), "{class:?}");
@@ -76,7 +76,7 @@
         plan_without_growth.warnings
     );
     let quiet = plan_without_growth.least.backends.expect("a quiet day needs few backends");
-    fleet.growth = Some(Growth { load: 2.0, by: GrowthBy::Customers, uncertainty: 0.25 });
+    fleet.growth = Some(Growth { factor: 2.0, by: GrowthBy::Customers, uncertainty: 0.25 });
     let grown = make_plan(&fleet, &source);
     let BusiestDay::Stated { seen_part, least_low, least_high, .. } = grown.busiest_day else {
         panic!("the growth block states the busiest day")
@@ -127,8 +127,8 @@
 fn quotas_break_before_backends_under_growth_of_use() {
     let mut fleet = sample(12).with_backends(30);
     fleet.load.usual_use = (0.7, 0.9);
-    (fleet.load.heavy, fleet.load.spiky) = (0.0, 0.0);
-    fleet.growth = Some(Growth { load: 1.0, by: GrowthBy::Use, uncertainty: 0.0 });
+    (fleet.load.heavy_share, fleet.load.spiky_share) = (0.0, 0.0);
+    fleet.growth = Some(Growth { factor: 1.0, by: GrowthBy::Use, uncertainty: 0.0 });
     fleet.objectives.backends = (28, 30);
     let plan = make_plan(&fleet, &Source::Described);
     let first = plan.breaks.first().expect("something breaks");
--- a/crates/rehearse/src/backends/machine.rs
+++ b/crates/rehearse/src/backends/machine.rs
@@ -68,7 +68,7 @@
         let now = shared.now();
         let started = is_cold.then_some(now);
         let backend = SimulatedBackend::new(&kind, &shared.fleet.rules, speed, started, now);
-        let next_report_at = Instant::now() + Duration::from_micros(kind.report_every);
+        let next_report_at = Instant::now() + Duration::from_micros(kind.report_interval);
         Machine {
             backend,
             kind,
@@ -124,7 +124,7 @@
             *locked(&self.load_report) = report.text;
         }
         if now >= self.next_report_at {
-            self.next_report_at = now + Duration::from_micros(self.kind.report_every);
+            self.next_report_at = now + Duration::from_micros(self.kind.report_interval);
             let visible_at = now + Duration::from_micros(self.kind.report_delay);
             self.pending_report = Some(DelayedReport { visible_at, text: self.report() });
         }
--- a/crates/rehearse/src/discovery.rs
+++ b/crates/rehearse/src/discovery.rs
@@ -130,8 +130,8 @@
             agents,
             endpoints: Mutex::new(endpoints),
             rng: Mutex::new(stream(seed, Concern::Discovery, 0)),
-            removal_delay: DelayRange::new(fleet.discovery.notice),
-            addition_delay: DelayRange::new(fleet.discovery.add),
+            removal_delay: DelayRange::new(fleet.discovery.removal_delay),
+            addition_delay: DelayRange::new(fleet.discovery.addition_delay),
         });
         let mut addresses = Vec::new();
         for number in 0..fleet.limiter_count() as usize {
--- a/crates/rehearse/src/discovery/tests.rs
+++ b/crates/rehearse/src/discovery/tests.rs
@@ -18,7 +18,7 @@
 async fn watch_sends_missed_and_new_changes() {
     let text = include_str!("../../../../deploy/fleet-sample.hcl");
     let mut fleet = Fleet::parse("f", text).expect("the sample fleet is valid");
-    (fleet.discovery.notice, fleet.discovery.add) = ((0, 0), (0, 0));
+    (fleet.discovery.removal_delay, fleet.discovery.addition_delay) = ((0, 0), (0, 0));
     let endpoints = vec![json!({"id": "w0", "state": "Ready"}), json!({"id": "w1", "state": "Ready"})];
     let discovery = Discovery::start(&fleet, 1, endpoints).await.expect("loopback has free ports");
     let watch = |index: u64| {
--- a/crates/rehearse/src/fault_player.rs
+++ b/crates/rehearse/src/fault_player.rs
@@ -56,7 +56,7 @@
             events.push(ScheduledEvent { at: fault.starts_at(), event: Event::FaultBegins(n) });
             events.push(ScheduledEvent { at: fault.ends_at(), event: Event::FaultEnds(n) });
             if self.affects_counter_zone(fault) {
-                let at = fault.starts_at() + self.fleet.counter.back_after;
+                let at = fault.starts_at() + self.fleet.counter.recovery_time;
                 events.push(ScheduledEvent { at, event: Event::CounterResumes });
             }
         }
--- a/crates/rehearse/src/load_player.rs
+++ b/crates/rehearse/src/load_player.rs
@@ -155,7 +155,7 @@
         let Some(retry_after) = self.try_once(n, &arrival).await else { return };
         let clients = &self.fleet.clients;
         let should_retry = self.draw() < clients.retries;
-        let honours_retry_after = self.draw() < clients.honour;
+        let honours_retry_after = self.draw() < clients.honour_share;
         if should_retry {
             let backoff = Duration::from_micros(clients.backoff);
             sleep(if honours_retry_after { retry_after.max(backoff) } else { backoff }).await;
--- a/crates/rehearse/src/scenarios.rs
+++ b/crates/rehearse/src/scenarios.rs
@@ -42,7 +42,13 @@
         "calm" => fleet.load.rate *= 0.6,
         "text-submit-surge" => {
             let class = fleet.classes.len() - 1;
-            fleet.surges.push(Surge { class, from: length / 3, span: length / 3, arrivals: 2.5, work: 2.0 });
+            fleet.surges.push(Surge {
+                class,
+                from: length / 3,
+                duration: length / 3,
+                arrivals: 2.5,
+                work: 2.0,
+            });
         }
         "room-lost" => {
             let zone_index = 1.min(fleet.zones.len() - 1);
--- a/crates/runtime-config/tests/documents.rs
+++ b/crates/runtime-config/tests/documents.rs
@@ -125,7 +125,7 @@
 fn fleet_applies_the_values_of_a_version() {
     let text = include_str!("../../../deploy/fleet-sample.hcl");
     let fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample is valid");
-    let changed_fleet = fleet.with_rules(&next_version("rate  = 5.3", "rate  = 4"));
+    let changed_fleet = fleet.with_runtime_config(&next_version("rate  = 5.3", "rate  = 4"));
     assert_eq!(changed_fleet.plans[2].rate, 4.0);
     assert_eq!((changed_fleet.plans[3].rate, changed_fleet.classes[0].latency_objective), (18.0, 800_000));
 }
--- a/src/net/capture.rs
+++ b/src/net/capture.rs
@@ -97,12 +97,12 @@
             }
             Err(TryRecvError::Empty) => thread::sleep(DRAIN_INTERVAL),
             Err(TryRecvError::Disconnected) => {
-                writer.dropped(dropped.swap(0, Relaxed));
+                writer.record_dropped(dropped.swap(0, Relaxed));
                 return writer.finish().map(|_| ());
             }
         }
         if flushed_at.elapsed() >= FLUSH_INTERVAL && !is_full {
-            writer.dropped(dropped.swap(0, Relaxed));
+            writer.record_dropped(dropped.swap(0, Relaxed));
             writer.flush()?;
             flushed_at = Instant::now();
             if writer.written() >= max_bytes {
--- a/tests/rehearsal/main.rs
+++ b/tests/rehearsal/main.rs
@@ -19,7 +19,8 @@
     let mut fleet = Fleet::parse("fleet-sample.hcl", text).expect("the sample is valid");
     fleet.load.length = seconds * SECOND;
     // Short delays, so that changes of the endpoint list reach the limiters during the run.
-    (fleet.discovery.notice, fleet.discovery.add) = ((100_000, 200_000), (100_000, 200_000));
+    (fleet.discovery.removal_delay, fleet.discovery.addition_delay) =
+        ((100_000, 200_000), (100_000, 200_000));
     fleet
 }
 
