--- a/crates/fleet/src/decode.rs
+++ b/crates/fleet/src/decode.rs
@@ -1,4 +1,4 @@
-//! HCL into [`Fleet`]: every key with its range and default, and the checks that need two keys.
+//! Decodes a [`Fleet`] from HCL: the range and default of each key, and checks that involve several keys.
 
 use sedgestack_hcl::{ConfigError, Document, Section};
 
@@ -7,20 +7,25 @@
 mod machines;
 mod workload;
 
-use machines::{backend_kind, counter, delays, discovery, limiter, most_units, rules, zone};
-use workload::{class, clients, growth, load, plan, range_or, surge};
+use machines::{
+    decode_backend_kind, decode_counter, decode_delays, decode_discovery, decode_limiter, decode_max_units,
+    decode_rules, decode_zone,
+};
+use workload::{
+    decode_class, decode_clients, decode_growth, decode_load, decode_plan, decode_surge, range_or,
+};
 
 const MILLIS: Micros = 1_000;
 const SECONDS: Micros = 1_000_000;
-/// Shares of classes or plans may miss 1 by this much.
-const SHARES_WITHIN: f64 = 1e-6;
-/// Largest fleet that is accepted: beyond it a mistyped figure is more likely than a fleet.
-const MOST_BACKENDS: u64 = 100_000;
-const MOST_LIMITERS: u64 = 10_000;
-/// Units that one request may declare where the file does not say.
-const DEFAULT_MOST_UNITS: u32 = 4;
+/// Maximum difference between 1 and the sum of the shares of all classes or all plans.
+const SHARE_SUM_TOLERANCE: f64 = 1e-6;
+/// Maximum numbers of backends and limiters. Larger ones are more likely typing errors than real fleets.
+const MAX_BACKENDS: u64 = 100_000;
+const MAX_LIMITERS: u64 = 10_000;
+/// Default of the maximum number of units that a request may declare.
+const DEFAULT_MAX_UNITS: u32 = 4;
 
-/// The blocks of a fleet file that bear names.
+/// The named blocks of a fleet file.
 struct NamedBlocks {
     kinds: Vec<BackendKind>,
     zones: Vec<Zone>,
@@ -28,24 +33,24 @@
     plans: Vec<Plan>,
 }
 
-/// Decodes and checks a fleet file.
+/// Decodes and validates a fleet file.
 pub fn decode_fleet(document: &Document) -> Result<Fleet, ConfigError> {
     let root = document.root();
     let blocks = NamedBlocks::decode(&root)?;
     blocks.check(&root)?;
     let NamedBlocks { kinds, zones, classes, plans } = blocks;
     let name = root.string("name")?.to_string();
-    let delays = delays(&root.block("network")?)?;
-    let counter = counter(&root.block("counter")?, &zones)?;
-    let limiter = limiter(&root.block("limiter")?)?;
-    let discovery = discovery(root.optional_block("roster")?)?;
-    let rules = rules(root.optional_block("rules")?)?;
-    let load = load(&root.block("load")?)?;
-    let clients = clients(root.optional_block("clients")?)?;
-    let surges = decode_all(&root, "surge", |section| surge(section, &classes, &load))?;
-    let growth = root.optional_block("growth")?.map(|section| growth(&section)).transpose()?;
+    let delays = decode_delays(&root.block("network")?)?;
+    let counter = decode_counter(&root.block("counter")?, &zones)?;
+    let limiter = decode_limiter(&root.block("limiter")?)?;
+    let discovery = decode_discovery(root.optional_block("roster")?)?;
+    let rules = decode_rules(root.optional_block("rules")?)?;
+    let load = decode_load(&root.block("load")?)?;
+    let clients = decode_clients(root.optional_block("clients")?)?;
+    let surges = decode_all(&root, "surge", |section| decode_surge(section, &classes, &load))?;
+    let growth = root.optional_block("growth")?.map(|section| decode_growth(&section)).transpose()?;
     let pod_size = root.integer_or("pod_size", 1..=1_000, 4)? as u32;
-    let objectives = objectives(root.optional_block("aims")?, &classes)?;
+    let objectives = decode_objectives(root.optional_block("aims")?, &classes)?;
     root.reject_unknown_keys()?;
     let fleet = Fleet {
         name,
@@ -73,13 +78,13 @@
 
 impl NamedBlocks {
     fn decode(root: &Section<'_>) -> Result<NamedBlocks, ConfigError> {
-        let kinds = decode_all(root, "worker", backend_kind)?;
-        let zones = decode_all(root, "room", |section| zone(section, &kinds))?;
-        let classes = decode_all(root, "class", class)?;
+        let kinds = decode_all(root, "worker", decode_backend_kind)?;
+        let zones = decode_all(root, "room", |section| decode_zone(section, &kinds))?;
+        let classes = decode_all(root, "class", decode_class)?;
         let rules = root.optional_block("rules")?;
-        let most_units = rules.map_or(Ok(DEFAULT_MOST_UNITS), |rules| most_units(&rules))?;
+        let max_units = rules.map_or(Ok(DEFAULT_MAX_UNITS), |rules| decode_max_units(&rules))?;
         let limiters: u32 = zones.iter().map(|zone| zone.limiters).sum();
-        let plans = decode_all(root, "plan", |section| plan(section, limiters, most_units))?;
+        let plans = decode_all(root, "plan", |section| decode_plan(section, limiters, max_units))?;
         Ok(NamedBlocks { kinds, zones, classes, plans })
     }
 
@@ -124,30 +129,30 @@
 }
 
 fn check_shares(root: &Section<'_>, kind: &str, sum: f64) -> Result<(), ConfigError> {
-    if (sum - 1.0).abs() <= SHARES_WITHIN {
+    if (sum - 1.0).abs() <= SHARE_SUM_TOLERANCE {
         return Ok(());
     }
-    let last = root.blocks(kind);
-    let last = last.last().expect("there is one");
+    let blocks = root.blocks(kind);
+    let last = blocks.last().expect("there is at least one block");
     Err(last
         .error_at("share", format!("expected the shares of all {kind} blocks to add up to 1, found {sum}")))
 }
 
-fn objectives(section: Option<Section<'_>>, classes: &[Class]) -> Result<Objectives, ConfigError> {
+fn decode_objectives(section: Option<Section<'_>>, classes: &[Class]) -> Result<Objectives, ConfigError> {
     let mut objectives =
         Objectives { in_time: vec![0.0; classes.len()], backends: (1, 64), seeds: 8, sudden_loss: 0.23 };
     let Some(section) = section else {
         objectives.in_time[0] = 0.99;
         return Ok(objectives);
     };
-    for of in section.blocks("class") {
-        let name = of.label()?;
+    for block in section.blocks("class") {
+        let name = block.label()?;
         let index = classes.iter().position(|class| class.name == name);
-        let index = index.ok_or_else(|| of.error("expected a class that a class block names"))?;
-        objectives.in_time[index] = of.number("in_time", 0.0..=1.0)?;
-        of.reject_unknown_keys()?;
+        let index = index.ok_or_else(|| block.error("expected a class that a class block names"))?;
+        objectives.in_time[index] = block.number("in_time", 0.0..=1.0)?;
+        block.reject_unknown_keys()?;
     }
-    let (low, high) = range_or(&section, "workers", MOST_BACKENDS as f64, (1.0, 64.0))?;
+    let (low, high) = range_or(&section, "workers", MAX_BACKENDS as f64, (1.0, 64.0))?;
     objectives.backends = (low.max(1.0) as u32, high.max(1.0) as u32);
     objectives.seeds = section.integer_or("seeds", 2..=1_000, 8)? as u32;
     objectives.sudden_loss = section.number_or("sudden_loss", 0.0..=1.0, 0.23)?;
--- a/crates/fleet/src/decode/machines.rs
+++ b/crates/fleet/src/decode/machines.rs
@@ -1,11 +1,11 @@
-//! The blocks on machines, the network and the rules of the platform.
+//! Decodes the blocks on backends, limiters, the quota counter, the network and the platform's limits.
 
 use sedgestack_hcl::{ConfigError, Section};
 
-use super::{DEFAULT_MOST_UNITS, MILLIS, MOST_BACKENDS, MOST_LIMITERS, SECONDS};
+use super::{DEFAULT_MAX_UNITS, MAX_BACKENDS, MAX_LIMITERS, MILLIS, SECONDS};
 use crate::*;
 
-pub(super) fn backend_kind(section: &Section<'_>) -> Result<BackendKind, ConfigError> {
+pub(super) fn decode_backend_kind(section: &Section<'_>) -> Result<BackendKind, ConfigError> {
     let cores = section.integer("cores", 1..=256)? as u32;
     let kind = BackendKind {
         name: section.label()?.to_string(),
@@ -32,29 +32,29 @@
     Ok(kind)
 }
 
-pub(super) fn zone(section: &Section<'_>, kinds: &[BackendKind]) -> Result<Zone, ConfigError> {
+pub(super) fn decode_zone(section: &Section<'_>, kinds: &[BackendKind]) -> Result<Zone, ConfigError> {
     let mut backends = vec![0; kinds.len()];
-    let own = section.blocks("workers");
-    for block in &own {
+    let blocks = section.blocks("workers");
+    for block in &blocks {
         let name = block.label()?;
         let index = kinds.iter().position(|kind| kind.name == name);
         let index = index.ok_or_else(|| {
             let known: Vec<&str> = kinds.iter().map(|kind| kind.name.as_str()).collect();
             block.error(format!("expected a kind that a worker block names: {}", known.join(", ")))
         })?;
-        backends[index] += block.integer("count", 0..=MOST_BACKENDS)? as u32;
+        backends[index] += block.integer("count", 0..=MAX_BACKENDS)? as u32;
         block.reject_unknown_keys()?;
     }
     let zone = Zone {
         name: section.label()?.to_string(),
         backends,
-        limiters: section.integer_or("limiters", 0..=MOST_LIMITERS, 0)? as u32,
+        limiters: section.integer_or("limiters", 0..=MAX_LIMITERS, 0)? as u32,
     };
     section.reject_unknown_keys()?;
     Ok(zone)
 }
 
-pub(super) fn delays(section: &Section<'_>) -> Result<Delays, ConfigError> {
+pub(super) fn decode_delays(section: &Section<'_>) -> Result<Delays, ConfigError> {
     let delays = Delays {
         same_zone: section.duration("same_room")?,
         cross_zone: section.duration("cross_room")?,
@@ -65,7 +65,7 @@
     Ok(delays)
 }
 
-pub(super) fn counter(section: &Section<'_>, zones: &[Zone]) -> Result<Counter, ConfigError> {
+pub(super) fn decode_counter(section: &Section<'_>, zones: &[Zone]) -> Result<Counter, ConfigError> {
     let names: Vec<&str> = zones.iter().map(|zone| zone.name.as_str()).collect();
     let counter = Counter {
         zone: section.keyword("room", &names)?,
@@ -79,7 +79,7 @@
     Ok(counter)
 }
 
-pub(super) fn limiter(section: &Section<'_>) -> Result<Limiter, ConfigError> {
+pub(super) fn decode_limiter(section: &Section<'_>) -> Result<Limiter, ConfigError> {
     let limiter = Limiter {
         cores: section.number_or("cores", 0.01..=64.0, 1.0)?,
         cpu_per_request: section.duration("cpu_per_request")? as f64,
@@ -90,16 +90,16 @@
     Ok(limiter)
 }
 
-pub(super) fn discovery(section: Option<Section<'_>>) -> Result<Discovery, ConfigError> {
-    let spans = |low, high| (low * MILLIS, high * MILLIS);
+pub(super) fn decode_discovery(section: Option<Section<'_>>) -> Result<Discovery, ConfigError> {
+    let range_ms = |low, high| (low * MILLIS, high * MILLIS);
     let mut discovery = Discovery {
-        removal_delay: spans(800, 3_200),
-        silent_removal_delay: spans(8_000, 13_000),
-        addition_delay: spans(300, 2_400),
-        limiter_removal_delay: spans(900, 3_900),
+        removal_delay: range_ms(800, 3_200),
+        silent_removal_delay: range_ms(8_000, 13_000),
+        addition_delay: range_ms(300, 2_400),
+        limiter_removal_delay: range_ms(900, 3_900),
     };
     if let Some(section) = section {
-        for (key, place) in [
+        for (key, range) in [
             ("notice_s", &mut discovery.removal_delay),
             ("silent_notice_s", &mut discovery.silent_removal_delay),
             ("add_s", &mut discovery.addition_delay),
@@ -107,7 +107,7 @@
         ] {
             if section.contains(key) {
                 let (low, high) = section.range(key, 0.0..=3_600.0)?;
-                *place = ((low * 1e6) as Micros, (high * 1e6) as Micros);
+                *range = ((low * 1e6) as Micros, (high * 1e6) as Micros);
             }
         }
         section.reject_unknown_keys()?;
@@ -115,7 +115,7 @@
     Ok(discovery)
 }
 
-pub(super) fn rules(section: Option<Section<'_>>) -> Result<PlatformRules, ConfigError> {
+pub(super) fn decode_rules(section: Option<Section<'_>>) -> Result<PlatformRules, ConfigError> {
     let mut rules = PlatformRules {
         drain_grace: 250 * MILLIS,
         overload_multiple: 4.0,
@@ -124,7 +124,7 @@
         max_retry_after: 500 * MILLIS,
         connect_timeout: 250 * MILLIS,
         keepalive: 30 * SECONDS,
-        max_units: DEFAULT_MOST_UNITS,
+        max_units: DEFAULT_MAX_UNITS,
     };
     if let Some(section) = section {
         rules.drain_grace = section.duration_or("drain_grace", rules.drain_grace)?;
@@ -134,12 +134,12 @@
         rules.max_retry_after = section.duration_or("max_retry_after", rules.max_retry_after)?;
         rules.connect_timeout = section.duration_or("connect_timeout", rules.connect_timeout)?;
         rules.keepalive = section.duration_or("keepalive", rules.keepalive)?;
-        rules.max_units = most_units(&section)?;
+        rules.max_units = decode_max_units(&section)?;
         section.reject_unknown_keys()?;
     }
     Ok(rules)
 }
 
-pub(super) fn most_units(rules: &Section<'_>) -> Result<u32, ConfigError> {
-    Ok(rules.integer_or("most_units", 1..=1_000, u64::from(DEFAULT_MOST_UNITS))? as u32)
+pub(super) fn decode_max_units(rules: &Section<'_>) -> Result<u32, ConfigError> {
+    Ok(rules.integer_or("most_units", 1..=1_000, u64::from(DEFAULT_MAX_UNITS))? as u32)
 }
--- a/crates/fleet/src/decode/workload.rs
+++ b/crates/fleet/src/decode/workload.rs
@@ -1,11 +1,11 @@
-//! The blocks on classes, plans and the described load.
+//! Decodes the blocks on classes, plans, clients, the described load, surges and growth.
 
 use sedgestack_hcl::{ConfigError, Section};
 
 use super::{MILLIS, SECONDS};
 use crate::*;
 
-pub(super) fn class(section: &Section<'_>) -> Result<Class, ConfigError> {
+pub(super) fn decode_class(section: &Section<'_>) -> Result<Class, ConfigError> {
     let window = section.duration_or("window", 0)?;
     let scope = [KeyScope::Pod, KeyScope::Zone, KeyScope::All]
         [section.keyword_or_first("scope", &["pod", "room", "all"])?];
@@ -38,11 +38,11 @@
     Ok(class)
 }
 
-pub(super) fn plan(section: &Section<'_>, limiters: u32, most_units: u32) -> Result<Plan, ConfigError> {
+pub(super) fn decode_plan(section: &Section<'_>, limiters: u32, max_units: u32) -> Result<Plan, ConfigError> {
     let rate = section.number("rate", 0.001..=1e9)?;
     let burst = section.number("burst", 1.0..=1e9)?;
-    if burst < f64::from(most_units) {
-        let expected = format!("expected room for the largest request, {most_units} units, or more");
+    if burst < f64::from(max_units) {
+        let expected = format!("expected room for the largest request, {max_units} units, or more");
         return Err(section.error_at("burst", expected));
     }
     let (low, high) = section.range("spread", 1.0..=f64::from(limiters.max(1)))?;
@@ -59,20 +59,21 @@
     Ok(plan)
 }
 
+/// Decodes the range of a key, with bounds from 0 to `max`; returns the default if the key is missing.
 pub(super) fn range_or(
     section: &Section<'_>,
     key: &str,
-    most: f64,
+    max: f64,
     default: (f64, f64),
 ) -> Result<(f64, f64), ConfigError> {
     if section.contains(key) {
-        section.range(key, 0.0..=most)
+        section.range(key, 0.0..=max)
     } else {
         Ok(default)
     }
 }
 
-pub(super) fn load(section: &Section<'_>) -> Result<Load, ConfigError> {
+pub(super) fn decode_load(section: &Section<'_>) -> Result<Load, ConfigError> {
     let length = section.duration("length")?;
     if length < SECONDS {
         return Err(section.error_at("length", "expected at least 1s"));
@@ -103,7 +104,7 @@
     Ok(load)
 }
 
-pub(super) fn clients(section: Option<Section<'_>>) -> Result<Clients, ConfigError> {
+pub(super) fn decode_clients(section: Option<Section<'_>>) -> Result<Clients, ConfigError> {
     let mut clients =
         Clients { retries: 0.7, backoff: 150 * MILLIS, honour_share: 0.6, abandon_after: (0.5, 1.0) };
     if let Some(section) = section {
@@ -116,7 +117,11 @@
     Ok(clients)
 }
 
-pub(super) fn surge(section: &Section<'_>, classes: &[Class], load: &Load) -> Result<Surge, ConfigError> {
+pub(super) fn decode_surge(
+    section: &Section<'_>,
+    classes: &[Class],
+    load: &Load,
+) -> Result<Surge, ConfigError> {
     let names: Vec<&str> = classes.iter().map(|class| class.name.as_str()).collect();
     let surge = Surge {
         class: section.keyword("class", &names)?,
@@ -132,7 +137,7 @@
     Ok(surge)
 }
 
-pub(super) fn growth(section: &Section<'_>) -> Result<Growth, ConfigError> {
+pub(super) fn decode_growth(section: &Section<'_>) -> Result<Growth, ConfigError> {
     let by = [GrowthBy::Customers, GrowthBy::Use][section.keyword_or_first("by", &["customers", "use"])?];
     let growth = Growth {
         factor: section.number("load", 0.01..=100.0)?,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! The fleet description: what a limiter fleet and the systems behind it look like, as HCL.
+//! Reads fleet files: HCL descriptions of limiters, backends, the quota counter, the network and the load.
 //!
-//! [`Fleet::read`] decodes and checks a file once into plain values; everything that models, plans or rehearses
-//! starts from them. [`platform`] turns a fleet into the platform's own configuration, for real daemons.
-//! The keys, their units and ranges stand in `docs/operate/fleet-file.md`.
+//! [`Fleet::read`] decodes and validates a file into plain values, which the model, the planner and the rehearsals
+//! use. [`platform`] converts a fleet into the configuration of real limiters. `docs/operate/fleet-file.md` documents
+//! the keys with their units and ranges.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -21,31 +21,32 @@
 pub use sedgestack_hcl::{ConfigError, Micros};
 pub use workload::{Class, Clients, Growth, GrowthBy, Idempotency, KeyScope, Load, Plan, Surge};
 
-/// What the planner is to keep.
+/// Objectives that a plan must meet, and the range that the planner searches.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objectives {
-    /// Share of a class's answers inside quotas that must come within its latency objective, by class; 0 for none.
+    /// Minimum share of the answers to requests within quotas that must meet the latency objective, by class index; 0
+    /// for a class without an objective.
     pub in_time: Vec<f64>,
-    /// Least and most backends, over all zones, that may be considered.
+    /// Minimum and maximum total number of backends to consider.
     pub backends: (u32, u32),
-    /// Runs behind every figure.
+    /// Number of simulation runs, each with its own seed, from which each result is computed.
     pub seeds: u32,
-    /// The share of backends of the standard sudden loss.
+    /// Share of the backends that are lost at once in the standard loss scenario, 0 to 1.
     pub sudden_loss: f64,
 }
 
-/// A whole description.
+/// A validated fleet description.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     /// The fleet's name.
     pub name: String,
-    /// Its zones.
+    /// Zones, in the order of the file.
     pub zones: Vec<Zone>,
-    /// Delays of the network.
+    /// Network delays.
     pub delays: Delays,
     /// The kinds of backends.
     pub backend_kinds: Vec<BackendKind>,
-    /// Backends of one pod.
+    /// Maximum number of backends in a pod.
     pub pod_size: u32,
     /// The request classes.
     pub classes: Vec<Class>,
@@ -53,75 +54,78 @@
     pub plans: Vec<Plan>,
     /// The quota counter.
     pub counter: Counter,
-    /// What each limiter has and costs.
+    /// Resources of each limiter, and the CPU time of a request.
     pub limiter: Limiter,
-    /// How long service discovery takes.
+    /// Delays of service discovery.
     pub discovery: Discovery,
-    /// The rules of the platform.
+    /// Limits and timeouts of the platform.
     pub rules: PlatformRules,
     /// The described load.
     pub load: Load,
-    /// What clients do of themselves.
+    /// How clients retry and abandon requests.
     pub clients: Clients,
-    /// Stretches in which a class grows.
+    /// Surges in single classes during the load.
     pub surges: Vec<Surge>,
-    /// How load is to grow.
+    /// Expected growth of the load, if any.
     pub growth: Option<Growth>,
-    /// What the planner is to keep.
+    /// Objectives of the planner.
     pub objectives: Objectives,
 }
 
 impl Fleet {
-    /// The fleet under a version of its runtime configuration.
-    pub fn with_runtime_config(&self, rules: &sedgestack_runtime_config::Document) -> Fleet {
+    /// Returns this fleet with the plans, latency objectives, deadlines and maximum retry hint of a runtime
+    /// configuration. Plans and classes that the configuration does not name keep their values.
+    pub fn with_runtime_config(&self, config: &sedgestack_runtime_config::Document) -> Fleet {
         let mut fleet = self.clone();
         for plan in &mut fleet.plans {
-            if let Some(new) = rules.plans.get(&plan.name) {
+            if let Some(new) = config.plans.get(&plan.name) {
                 (plan.rate, plan.burst, plan.price) = (new.rate, new.burst, new.price);
             }
         }
         for class in &mut fleet.classes {
-            if let Some(new) = rules.classes.get(&class.name) {
+            if let Some(new) = config.classes.get(&class.name) {
                 (class.latency_objective, class.deadline) = (new.latency_objective, new.deadline);
             }
         }
-        fleet.rules.max_retry_after = rules.max_retry_after;
+        fleet.rules.max_retry_after = config.max_retry_after;
         fleet
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates a fleet file.
     ///
     /// # Errors
-    /// Names file, line, column and key at fault, and what was expected there.
+    /// Returns an error if the file can't be read or is invalid. The error names the file, line, column and key, and
+    /// what was expected there.
     pub fn read(path: &Path) -> Result<Fleet, ConfigError> {
         decode::decode_fleet(&Document::read(path)?)
     }
 
-    /// Checks a text; `file` is named in errors.
+    /// Parses and validates the text of a fleet file. Errors name `file` as the source.
     ///
     /// # Errors
-    /// As [`Fleet::read`].
+    /// Returns an error if the text is invalid; see [`Fleet::read`].
     pub fn parse(file: &str, text: &str) -> Result<Fleet, ConfigError> {
         decode::decode_fleet(&Document::parse(file, text)?)
     }
 
-    /// How many backends there are.
+    /// Returns the number of backends in all zones.
     pub fn backend_count(&self) -> u32 {
         self.zones.iter().flat_map(|zone| &zone.backends).sum()
     }
 
-    /// How many limiters there are.
+    /// Returns the number of limiters in all zones.
     pub fn limiter_count(&self) -> u32 {
         self.zones.iter().map(|zone| zone.limiters).sum()
     }
 
-    /// The index of each limiter's zone, by the limiter's number.
+    /// Returns the zone index of each limiter, in the order of the limiters' numbers.
     pub fn limiter_zones(&self) -> Vec<usize> {
         let zones = self.zones.iter().enumerate();
         zones.flat_map(|(index, zone)| std::iter::repeat_n(index, zone.limiters as usize)).collect()
     }
 
-    /// Every backend's location. Pods lie within a zone; the last one of a zone may be smaller.
+    /// Returns the location of each backend. No pod spans two zones; the last pod of a zone may be smaller than
+    /// `pod_size`.
     pub fn backend_locations(&self) -> Vec<BackendLocation> {
         let mut locations = Vec::new();
         let mut pod = 0;
@@ -141,7 +145,7 @@
         locations
     }
 
-    /// The same fleet with `total` limiters, spread over the zones as evenly as they go, the first zones first.
+    /// Returns this fleet with `total` limiters, distributed evenly over the zones. The first zones get the remainder.
     pub fn with_limiters(mut self, total: u32) -> Fleet {
         let zones = self.zones.len() as u32;
         for (index, zone) in self.zones.iter_mut().enumerate() {
@@ -150,8 +154,9 @@
         self
     }
 
-    /// The same fleet with `total` backends of the first kind's mix: zones are filled evenly, those that have
-    /// the most today first. Other kinds keep their part of a zone as nearly as whole backends allow.
+    /// Returns this fleet with `total` backends, distributed evenly over the zones. The zones that have the most
+    /// backends today get the remainder. Within a zone, each kind but the first keeps its share, rounded down to whole
+    /// backends, and the first kind gets the rest.
     pub fn with_backends(&self, total: u32) -> Fleet {
         let mut fleet = self.clone();
         let zones = self.zones.len() as u32;
@@ -160,32 +165,33 @@
         order.sort_by_key(|zone| std::cmp::Reverse(backends_of(*zone)));
         for (rank, zone) in order.into_iter().enumerate() {
             let new_count = total / zones + u32::from((rank as u32) < total % zones);
-            let today = backends_of(zone);
-            let mut left = new_count;
+            let old_count = backends_of(zone);
+            let mut remaining = new_count;
             for (kind, count) in fleet.zones[zone].backends.iter_mut().enumerate().rev() {
-                let part = (*count * new_count).checked_div(today).unwrap_or(0);
-                *count = if kind == 0 { left } else { part.min(left) };
-                left -= *count;
+                let part = (*count * new_count).checked_div(old_count).unwrap_or(0);
+                *count = if kind == 0 { remaining } else { part.min(remaining) };
+                remaining -= *count;
             }
         }
         fleet
     }
 
-    /// Core-seconds of work that the whole fleet does in a second once it has warmed up.
+    /// Returns the work that all backends together can do per second once they are warm, in seconds of a core of
+    /// speed 1.
     pub fn capacity(&self) -> f64 {
-        let of_zone = |zone: &Zone| -> f64 {
+        let zone_capacity = |zone: &Zone| -> f64 {
             let kinds = zone.backends.iter().zip(&self.backend_kinds);
             kinds.map(|(count, kind)| f64::from(*count) * f64::from(kind.cores) * kind.speed).sum()
         };
-        self.zones.iter().map(of_zone).sum()
+        self.zones.iter().map(zone_capacity).sum()
     }
 
-    /// The index of a class by its name.
+    /// Returns the index of the class with this name.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// The index of a plan by its name.
+    /// Returns the index of the plan with this name.
     pub fn plan_index(&self, name: &str) -> Option<usize> {
         self.plans.iter().position(|plan| plan.name == name)
     }
--- a/crates/fleet/src/machines.rs
+++ b/crates/fleet/src/machines.rs
@@ -1,37 +1,37 @@
-//! The machines of a fleet and what lies between them.
+//! Zones, backends, limiters, the quota counter, the network between them, and the platform's limits.
 
 use sedgestack_hcl::Micros;
 
-/// A zone: a place whose machines may vanish together.
+/// A zone, whose machines may all fail at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
     /// The zone's name.
     pub name: String,
-    /// Backends of each kind, by the kind's index in [`Fleet::backend_kinds`](crate::Fleet::backend_kinds).
+    /// Number of backends of each kind, by the kind's index in [`Fleet::backend_kinds`](crate::Fleet::backend_kinds).
     pub backends: Vec<u32>,
-    /// Limiters in the zone.
+    /// Number of limiters in the zone.
     pub limiters: u32,
 }
 
-/// One-way delays, microseconds.
+/// One-way network delays, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Delays {
     /// Between machines of one zone.
     pub same_zone: Micros,
-    /// Between machines of two zones.
+    /// Between machines of different zones.
     pub cross_zone: Micros,
     /// Between clients and limiters.
     pub client: Micros,
-    /// Share by which a delay varies, 0 to 1.
+    /// Random variation of each delay, as a share of it, 0 to 1.
     pub jitter: f64,
 }
 
-/// What a backend does with queued work that was cancelled.
+/// What a backend does with canceled requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelPolicy {
-    /// It is begun all the same.
+    /// Cancellation has no effect: queued requests are processed as well.
     Ignored,
-    /// It is dropped while it waits; begun work goes on.
+    /// Requests still in the queue are dropped; those being processed run to their end.
     Queued,
 }
 
@@ -40,113 +40,114 @@
 pub struct BackendKind {
     /// The kind's name.
     pub name: String,
-    /// Cores of one backend.
+    /// Number of cores of one backend.
     pub cores: u32,
-    /// Work done a second by one core, 1 for the machine on which classes' work was measured.
+    /// Speed of one core, relative to the machine on which the classes' work was measured.
     pub speed: f64,
-    /// Coefficient of variation of the speed from backend to backend.
+    /// Coefficient of variation of the speed between backends.
     pub speed_cv: f64,
-    /// Requests that are processed at once, all cores together.
+    /// Maximum number of requests that a backend processes concurrently, over all cores.
     pub slots: u32,
-    /// Requests that may be queued behind them.
+    /// Maximum number of queued requests.
     pub queue_capacity: u32,
-    /// Share of the capacity lost where more than `thrash_at` requests a core are processed, 0 to 1.
+    /// Share of the capacity that contention costs at twice `thrash_at` concurrent requests per core and above, 0 to 1.
     pub thrash: f64,
-    /// Requests a core from which capacity is lost.
+    /// Number of concurrent requests per core above which contention reduces the capacity.
     pub thrash_at: f64,
-    /// Share of its capacity with which a backend starts.
+    /// Share of its full capacity that a backend has when it starts.
     pub slow_start_share: f64,
-    /// How long a backend warms up, until it has its full capacity.
+    /// Time from a backend's start until it has its full capacity, in microseconds.
     pub slow_start: Micros,
-    /// Connections that a backend accepts.
+    /// Maximum number of open connections to a backend.
     pub connections: u32,
-    /// CPU of a new connection, microseconds of a core.
+    /// CPU time that a new connection takes, in microseconds of a core.
     pub handshake: Micros,
-    /// What becomes of queued work that was cancelled.
+    /// What a backend does with canceled requests.
     pub cancel: CancelPolicy,
-    /// Whether queued work past its deadline is dropped.
+    /// Whether queued requests are dropped once their deadline has passed.
     pub drops_expired: bool,
-    /// How often load reports are renewed.
+    /// Time between two load reports, in microseconds.
     pub report_interval: Micros,
-    /// How much later a load report is visible to limiters.
+    /// Delay after which a load report is visible to limiters, in microseconds.
     pub report_delay: Micros,
-    /// Noise of load reports, as a share.
+    /// Standard deviation of the random error of load reports, as a share of the reported value.
     pub report_noise: f64,
-    /// Share of requests answered with an error.
+    /// Share of the requests that a backend answers with an error.
     pub error_share: f64,
 }
 
 /// The quota counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Counter {
-    /// Its zone's index in [`Fleet::zones`](crate::Fleet::zones).
+    /// Index of the counter's zone in [`Fleet::zones`](crate::Fleet::zones).
     pub zone: usize,
-    /// Calls that it serves a second.
+    /// Maximum number of calls that the counter answers per second.
     pub calls_per_second: f64,
-    /// Time of one call beside the network and the queue.
+    /// Time to process a call, without network delays and queueing, in microseconds.
     pub delay: Micros,
-    /// After which limiters give a call up.
+    /// Time after which a limiter abandons a call, in microseconds.
     pub timeout: Micros,
-    /// Calls that may be queued.
+    /// Maximum number of queued calls.
     pub queue_capacity: u32,
-    /// Where its zone is lost, it is back elsewhere after this, empty.
+    /// Time from the loss of the counter's zone until an empty replacement runs elsewhere, in microseconds.
     pub recovery_time: Micros,
 }
 
-/// What a limiter has and costs.
+/// Resources of a limiter, and the CPU time of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limiter {
-    /// Share of a core.
+    /// CPU of a limiter, in cores; may be a fraction.
     pub cores: f64,
-    /// CPU of a request with its attempts, microseconds of a core.
+    /// CPU time of a request with all its attempts, in microseconds of a core.
     pub cpu_per_request: f64,
-    /// Sockets that a limiter may have open.
+    /// Maximum number of open sockets.
     pub sockets: u32,
-    /// Memory of a limiter, megabytes.
+    /// Memory, in megabytes.
     pub memory_mb: u32,
 }
 
-/// How long service discovery takes: least and most.
+/// Delays of service discovery, each as minimum and maximum, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Discovery {
-    /// From a backend's death until limiters are notified.
+    /// From the failure of a backend until limiters are notified.
     pub removal_delay: (Micros, Micros),
-    /// The same for a backend whose machine fell silent.
+    /// The same for a backend whose machine stops responding, so that no connection is reset.
     pub silent_removal_delay: (Micros, Micros),
-    /// From a backend's start until limiters are notified.
+    /// From the start of a backend until limiters are notified.
     pub addition_delay: (Micros, Micros),
-    /// From a limiter's death until clients' load balancer passes it over.
+    /// From the failure of a limiter until the clients' load balancer stops sending requests to it.
     pub limiter_removal_delay: (Micros, Micros),
 }
 
-/// The rules of the platform that limiters keep.
+/// Limits and timeouts that the platform sets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlatformRules {
-    /// How long before a backend's announced end limiters stop sending to it.
+    /// Time before the announced termination of a backend from which limiters send nothing more to it, in microseconds.
     pub drain_grace: Micros,
-    /// A backend that is warming up fails once it is sent more than this many times its present capacity.
+    /// A backend that is warming up fails if it is sent more than this many times its current capacity within one
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// The window over which that is measured.
+    /// Time over which the work sent is compared with the capacity, in microseconds.
     pub overload_window: Micros,
-    /// Attempts of one request.
+    /// Maximum number of attempts of a request, the first included.
     pub max_attempts: u32,
-    /// The longest hint in a rejection after which a retry is welcome.
+    /// Maximum `Retry-After` of a rejection, in microseconds; 0 if rejections carry none.
     pub max_retry_after: Micros,
-    /// After which a connection that does not come up is given up.
+    /// Time after which an attempt to connect is abandoned, in microseconds.
     pub connect_timeout: Micros,
-    /// After which backends close idle connections.
+    /// Time after which backends close an idle connection, in microseconds.
     pub keepalive: Micros,
-    /// Units that one request may declare.
+    /// Maximum number of units that a request may declare.
     pub max_units: u32,
 }
 
-/// Where one backend is. Backends are numbered zone by zone, kind by kind.
+/// Location and kind of a backend. Backends are numbered by zone, and within a zone by kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendLocation {
-    /// Its zone's index.
+    /// Index of the zone.
     pub zone: usize,
-    /// Its kind's index.
+    /// Index of the backend's kind.
     pub kind: usize,
-    /// The number of its pod.
+    /// Number of the pod, counted over all zones.
     pub pod: u32,
 }
--- a/crates/fleet/src/platform.rs
+++ b/crates/fleet/src/platform.rs
@@ -1,4 +1,4 @@
-//! A fleet as the library's settings and as the platform's configuration.
+//! Converts a fleet into the platform's configuration and into the library's settings.
 
 use serde_json::{json, Value};
 
@@ -11,13 +11,13 @@
     micros as f64 / 1e3
 }
 
-/// The platform's settings object for limiter `number`, as its configuration file carries it.
+/// Returns the settings object in the configuration file of limiter `number`.
 pub fn settings_json(fleet: &Fleet, number: u32) -> Value {
     let profiles: Vec<Value> = fleet
         .classes
         .iter()
         .map(|class| {
-            let (repeat, scope, window) = match class.idempotency {
+            let (repeat, key_scope, window) = match class.idempotency {
                 Idempotency::Idempotent => ("safe", "all", 0),
                 Idempotency::IdempotencyKey { scope: KeyScope::Pod, window } => ("keyed", "cell", window),
                 Idempotency::IdempotencyKey { scope: KeyScope::Zone, window } => ("keyed", "zone", window),
@@ -26,7 +26,7 @@
             };
             json!({"name": class.name, "credit": class.priority_weight, "deadlineMs": ms(class.deadline),
                    "goalTimeMs": ms(class.latency_objective),
-                   "repeat": repeat, "keyScope": scope, "windowMs": ms(window), "lateValue": 0.0})
+                   "repeat": repeat, "keyScope": key_scope, "windowMs": ms(window), "lateValue": 0.0})
         })
         .collect();
     let plans: Vec<Value> = fleet
@@ -57,13 +57,14 @@
     })
 }
 
-/// The library's settings for limiter `number`, read by the reader that real limiters use, and the names.
+/// Returns the library's settings for limiter `number`, with the index of class and plan names. The settings are
+/// decoded in the same way as those of a real limiter.
 ///
 /// # Panics
-/// Never for a fleet that was decoded: its figures are within what the platform's reader takes.
+/// Panics if the platform rejects the settings. A fleet that was decoded from a file always has valid settings.
 pub fn settings(fleet: &Fleet, number: u32) -> (Settings, NameIndex) {
     let document: Document =
-        serde_json::from_value(settings_json(fleet, number)).expect("the keys are the platform's");
-    let (settings, names, _) = document.decode().expect("a checked fleet has usable figures");
+        serde_json::from_value(settings_json(fleet, number)).expect("all keys are known to the platform");
+    let (settings, names, _) = document.decode().expect("a validated fleet has valid settings");
     (settings, names)
 }
--- a/crates/fleet/src/workload.rs
+++ b/crates/fleet/src/workload.rs
@@ -1,31 +1,32 @@
-//! What customers ask of a fleet: classes, plans, and a described load.
+//! Request classes, customers' plans, client behavior, and the described load.
 
 use sedgestack_hcl::Micros;
 
-/// Whether a class may be repeated.
+/// Whether requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// At any time.
+    /// A repeated execution is harmless.
     Idempotent,
-    /// With the same idempotency key: backends of one scope drop a repeat within a window.
+    /// A request may be repeated with the same idempotency key: the backends of one scope ignore a repeat within a
+    /// time window.
     IdempotencyKey {
-        /// The backends that know the key.
+        /// The backends that share the key.
         scope: KeyScope,
-        /// How long they know it.
+        /// How long the backends remember the key, in microseconds.
         window: Micros,
     },
-    /// Never.
+    /// Requests must not be repeated.
     NotIdempotent,
 }
 
-/// The backends that share idempotency keys.
+/// Which backends share idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Those of one pod.
+    /// The backends of one pod.
     Pod,
-    /// Those of one zone.
+    /// The backends of one zone.
     Zone,
-    /// All.
+    /// All backends.
     All,
 }
 
@@ -34,120 +35,120 @@
 pub struct Class {
     /// The class's name.
     pub name: String,
-    /// Part of first tries, all classes together 1.
+    /// Share of the first tries; the shares of all classes add up to 1.
     pub share: f64,
-    /// Mean work, microseconds of a core of speed 1.
+    /// Mean work of a request, in microseconds of a core of speed 1.
     pub work: Micros,
-    /// Coefficient of variation of the work.
+    /// Coefficient of variation of the work between requests.
     pub work_cv: f64,
-    /// Coefficient of variation from attempt to attempt of one request.
+    /// Coefficient of variation of the work between the attempts of one request.
     pub attempt_cv: f64,
-    /// Answers within it count in full.
+    /// Maximum latency of an answer that counts as in time, in microseconds.
     pub latency_objective: Micros,
-    /// The longest that a client waits.
+    /// Maximum time that a client waits for an answer, in microseconds.
     pub deadline: Micros,
-    /// What an answer is worth.
+    /// Value of an answer in time, per unit and before the factor of the customer's plan.
     pub priority_weight: f64,
-    /// Whether a request may be sent twice.
+    /// Whether requests may be executed more than once.
     pub idempotency: Idempotency,
 }
 
-/// A customers' plan.
+/// A plan that customers subscribe to, with its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// The plan's name.
     pub name: String,
-    /// Part of the units asked for inside quotas.
+    /// Share of the units requested within quotas; the shares of all plans add up to 1.
     pub share: f64,
-    /// Units a second for each customer, over all limiters.
+    /// Quota of each customer over all limiters, in units per second.
     pub rate: f64,
-    /// Capacity of each customer's token bucket, units.
+    /// Capacity of each customer's token bucket, in units.
     pub burst: f64,
-    /// Factor on what an answer is worth.
+    /// Factor on the priority weight of the class.
     pub price: f64,
-    /// Part of a request's value that is lost where it is forwarded beyond the quota.
+    /// Cost of forwarding a request beyond the quota, as a multiple of the request's value.
     pub over_quota_cost: f64,
-    /// Limiters through which a customer comes: least and most.
+    /// Minimum and maximum number of limiters that a customer's requests arrive through.
     pub spread: (u32, u32),
 }
 
-/// Customers and clients of a described load.
+/// The described load, from which the model draws customers and their requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    /// First tries a second inside quotas.
+    /// Mean rate of the first tries within quotas, in requests per second.
     pub rate: f64,
-    /// How long the load lasts.
+    /// Duration of the load, in microseconds.
     pub length: Micros,
-    /// The rate swings by this share, once over `wave_period`.
+    /// Amplitude of the rate's periodic variation, as a share of `rate`.
     pub wave: f64,
-    /// The period of the swing.
+    /// Period of this variation, in microseconds.
     pub wave_period: Micros,
-    /// Use of usual customers, as a share of their quota.
+    /// Minimum and maximum use of ordinary customers, and of spiky ones between spikes, as a share of their quota.
     pub usual_use: (f64, f64),
-    /// Share of customers that use nearly all of their quota.
+    /// Share of the customers that use nearly all of their quota.
     pub full_share: f64,
-    /// Share of customers that ask for a multiple of their quota.
+    /// Share of the customers that permanently request a multiple of their quota.
     pub heavy_share: f64,
-    /// That multiple: least and most.
+    /// Minimum and maximum use of heavy customers, as a multiple of their quota.
     pub heavy_multiple: (f64, f64),
-    /// Share of customers whose use spikes.
+    /// Share of the customers whose use has spikes.
     pub spiky_share: f64,
-    /// Use in a spike as a multiple of the quota: least and most.
+    /// Minimum and maximum use during a spike, as a multiple of the quota.
     pub spike_multiple: (f64, f64),
-    /// How long a spike lasts, seconds: least and most.
+    /// Minimum and maximum duration of a spike, in seconds.
     pub spike_duration: (f64, f64),
-    /// How long it is from one spike to the next, seconds: least and most.
+    /// Minimum and maximum time between two spikes, in seconds.
     pub spike_interval: (f64, f64),
-    /// How unevenly a customer's requests come through its limiters; 0 is even.
+    /// How unevenly a customer's requests are distributed over its limiters; 0 is even.
     pub skew: f64,
-    /// How often that is drawn anew.
+    /// Time after which the distribution of a customer's requests is drawn again, in microseconds.
     pub skew_interval: Micros,
 }
 
-/// What clients do of themselves.
+/// How clients retry and abandon requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Clients {
-    /// Share of unserved first tries that are retried, once.
+    /// Share of the unserved first tries that are retried; each is retried once at most.
     pub retries: f64,
-    /// The least time before a retry.
+    /// Minimum time before a retry, in microseconds.
     pub backoff: Micros,
-    /// Share of retries that honour a Retry-After.
+    /// Share of the retries that wait as long as `Retry-After` says.
     pub honour_share: f64,
-    /// A try is abandoned after this part of its class's deadline: least and most.
+    /// Minimum and maximum time after which a client abandons a try, as a share of the class's deadline.
     pub abandon_after: (f64, f64),
 }
 
-/// A stretch of a described load in which a class grows in number and in cost.
+/// A period of the described load in which the arrival rate and the work of a class are multiplied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Surge {
     /// The class's index in [`Fleet::classes`](crate::Fleet::classes).
     pub class: usize,
-    /// When the surge begins.
+    /// Start of the surge, in microseconds from the start of the load.
     pub from: Micros,
-    /// How long it lasts.
+    /// Duration of the surge, in microseconds.
     pub duration: Micros,
-    /// Arrivals as a multiple of the usual ones.
+    /// Factor on the arrival rate of the class.
     pub arrivals: f64,
-    /// Work as a multiple of the usual one.
+    /// Factor on the work of each request.
     pub work: f64,
 }
 
-/// How load is to grow over the observed one.
+/// Expected growth of the load beyond today's.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Growth {
-    /// The factor.
+    /// Factor on today's load.
     pub factor: f64,
-    /// What grows.
+    /// Whether the customers or their use grow.
     pub by: GrowthBy,
-    /// How uncertain the factor is, as a share of it.
+    /// Uncertainty of the factor, as a share of it.
     pub uncertainty: f64,
 }
 
-/// What grows.
+/// What makes the load grow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrowthBy {
-    /// More customers with the same habits.
+    /// More customers, each with the same use.
     Customers,
-    /// The same customers, each asking more.
+    /// The same customers, each with more requests.
     Use,
 }
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -1,22 +1,22 @@
-//! Every error of a fleet file names its place, and the shipped sample has none.
+//! Decoding of the sample fleet file, and the errors of invalid fleet files.
 
 use sedgestack_fleet::{platform, BackendLocation, Fleet};
 
 const SAMPLE: &str = include_str!("../../../deploy/fleet-sample.hcl");
 
 fn sample() -> Fleet {
-    Fleet::parse("fleet-sample.hcl", SAMPLE).expect("the sample has no error")
+    Fleet::parse("fleet-sample.hcl", SAMPLE).expect("the sample is valid")
 }
 
-/// The error that the sample has once `from` is replaced by `to`.
+/// Returns the error of the sample file in which `from` is replaced by `to`.
 fn error(from: &str, to: &str) -> String {
     let text = SAMPLE.replacen(from, to, 1);
-    assert_ne!(text, SAMPLE, "'{from}' is in the sample");
+    assert_ne!(text, SAMPLE, "'{from}' is not in the sample");
     Fleet::parse("f.hcl", &text).expect_err("an error").to_string()
 }
 
 #[test]
-fn errors_name_line_column_key_and_what_was_expected() {
+fn errors_name_location_and_expected_value() {
     let message = error("cores        = 2", "cores        = 0");
     assert_eq!(
         message,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn keys_that_contradict_each_other_are_errors() {
+fn inconsistent_keys_are_rejected() {
     let cases = [
         ("share        = 0.23", "share        = 0.33", "shares of all plan blocks to add up to 1"),
         ("window     = \"15s\"", "", "expected a span over 0, as repeats is keyed"),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn pods_lie_within_a_zone_and_hold_no_more_than_their_size() {
+fn pods_do_not_span_zones_or_exceed_their_size() {
     let locations = sample().backend_locations();
     assert_eq!(locations.len(), 10);
     assert_eq!(locations[3], BackendLocation { zone: 0, kind: 0, pod: 0 });
@@ -60,15 +60,15 @@
 }
 
 #[test]
-fn another_number_of_backends_is_spread_evenly_over_zones() {
-    let counts = |n| sample().with_backends(n).zones.iter().map(|r| r.backends[0]).collect::<Vec<_>>();
+fn with_backends_distributes_evenly_over_zones() {
+    let counts = |n| sample().with_backends(n).zones.iter().map(|zone| zone.backends[0]).collect::<Vec<_>>();
     assert_eq!(counts(11), [4, 4, 3]);
     assert_eq!(counts(12), [4, 4, 4]);
     assert_eq!(counts(2), [1, 1, 0]);
 }
 
 #[test]
-fn real_limiters_read_the_settings_that_a_fleet_is_turned_into() {
+fn fleet_is_converted_to_settings() {
     let (settings, names) = platform::settings(&sample(), 2);
     assert_eq!((settings.limiter, settings.limiters, settings.zone.as_str()), (2, 3, "room-c"));
     assert_eq!((names.class("text-submit"), names.plan("universidade")), (Some(1), Some(3)));
