--- a/crates/capture/src/warning.rs
+++ b/crates/capture/src/warning.rs
@@ -19,7 +19,7 @@
         /// Number of records that were lost.
         records: u64,
     },
-    /// A limiter's file can't be read to its end; the records before the damage are used.
+    /// A limiter's file can't be read to its end; records before it are used.
     Damaged {
         /// Name of the limiter.
         limiter: String,
@@ -82,16 +82,16 @@
             Warning::Dropped { limiter, records } => {
                 write!(f, "{limiter}: {records} records were dropped; its rates are scaled up for them")
             }
-            Warning::Damaged { limiter, why } => write!(f, "{limiter}: {why}; what stands before is used"),
+            Warning::Damaged { limiter, why } => write!(f, "{limiter}: {why}; records before it are used"),
             Warning::ClockOff { limiter, offset, within } => write!(
                 f,
-                "{limiter}: its clock stands {} ms {} the first one's, within {} ms; corrected",
+                "{limiter}: its clock is {} ms {} the first one's, within {} ms; corrected",
                 offset.unsigned_abs() / MICROS_PER_MILLISECOND,
                 if *offset > 0 { "ahead of" } else { "behind" },
                 within / MICROS_PER_MILLISECOND
             ),
             Warning::ClockUnknown { limiter } => {
-                write!(f, "{limiter}: too few retries crossed limiters to compare its clock; taken as right")
+                write!(f, "{limiter}: too few retries came through two limiters to compare its clock; assumed to be right")
             }
         }
     }
--- a/crates/fleet/src/decode.rs
+++ b/crates/fleet/src/decode.rs
@@ -148,7 +148,7 @@
     for block in section.blocks("class") {
         let name = block.label()?;
         let index = classes.iter().position(|class| class.name == name);
-        let index = index.ok_or_else(|| block.error("expected a class that a class block names"))?;
+        let index = index.ok_or_else(|| block.error("expected the name of a class block"))?;
         objectives.in_time[index] = block.number("in_time", 0.0..=1.0)?;
         block.reject_unknown_keys()?;
     }
--- a/crates/fleet/src/decode/machines.rs
+++ b/crates/fleet/src/decode/machines.rs
@@ -40,7 +40,7 @@
         let index = kinds.iter().position(|kind| kind.name == name);
         let index = index.ok_or_else(|| {
             let known: Vec<&str> = kinds.iter().map(|kind| kind.name.as_str()).collect();
-            block.error(format!("expected a kind that a worker block names: {}", known.join(", ")))
+            block.error(format!("expected the name of a worker block: {}", known.join(", ")))
         })?;
         backends[index] += block.integer("count", 0..=MAX_BACKENDS)? as u32;
         block.reject_unknown_keys()?;
--- a/crates/fleet/src/decode/workload.rs
+++ b/crates/fleet/src/decode/workload.rs
@@ -12,7 +12,7 @@
     let repeats = match section.keyword("repeats", &["safe", "keyed", "never"])? {
         0 => Idempotency::Idempotent,
         1 if window == 0 => {
-            return Err(section.error_at("window", "expected a span over 0, as repeats is keyed"))
+            return Err(section.error_at("window", "expected a positive duration, because repeats is keyed"))
         }
         1 => Idempotency::IdempotencyKey { scope, window },
         _ => Idempotency::NotIdempotent,
@@ -29,10 +29,10 @@
         idempotency: repeats,
     };
     if class.work == 0 {
-        return Err(section.error_at("work", "expected a span over 0"));
+        return Err(section.error_at("work", "expected a positive duration"));
     }
     if class.latency_objective == 0 || class.latency_objective > class.deadline {
-        return Err(section.error_at("aim", "expected a span over 0 and no longer than deadline"));
+        return Err(section.error_at("aim", "expected a positive duration no longer than deadline"));
     }
     section.reject_unknown_keys()?;
     Ok(class)
@@ -42,7 +42,7 @@
     let rate = section.number("rate", 0.001..=1e9)?;
     let burst = section.number("burst", 1.0..=1e9)?;
     if burst < f64::from(max_units) {
-        let expected = format!("expected room for the largest request, {max_units} units, or more");
+        let expected = format!("expected at least {max_units}, the units of the largest request");
         return Err(section.error_at("burst", expected));
     }
     let (low, high) = section.range("spread", 1.0..=f64::from(limiters.max(1)))?;
@@ -98,7 +98,7 @@
         return Err(section.error_at("spiky", "expected full, heavy and spiky to add up to 1 at most"));
     }
     if load.usual_use.0 <= 0.0 {
-        return Err(section.error_at("usual_use", "expected a lowest share over 0"));
+        return Err(section.error_at("usual_use", "expected a lowest share above 0"));
     }
     section.reject_unknown_keys()?;
     Ok(load)
@@ -131,7 +131,7 @@
         work: section.number_or("work", 0.01..=100.0, 1.0)?,
     };
     if surge.from >= load.length {
-        return Err(section.error_at("from", "expected a moment within the load's length"));
+        return Err(section.error_at("from", "expected a time within the load's length"));
     }
     section.reject_unknown_keys()?;
     Ok(surge)
