--- a/crates/capture/src/clocks.rs
+++ b/crates/capture/src/clocks.rs
@@ -1,9 +1,9 @@
-//! Differences between limiters' clocks, estimated from retries.
+//! Estimates the differences between limiters' clocks from retries.
 //!
-//! A key that came through one limiter and then through another was answered before it came again. The wait between
-//! them, as the two clocks show it, is the client's wait plus the difference of the clocks one way and minus it the
-//! other way. Half the difference of the two typical waits is therefore the difference of the clocks (as in NTP, RFC
-//! 5905, with client waits in the place of network delays).
+//! If a request is answered by one limiter and its retry arrives at another, the time between the answer and the retry,
+//! taken from the two clocks, is the client's wait plus the difference of the clocks in one direction, and the wait
+//! minus that difference in the other. Half the difference between the median waits of both directions is therefore
+//! the difference of the clocks. NTP (RFC 5905) uses the same method with network delays instead of client waits.
 
 use std::collections::HashMap;
 
@@ -11,82 +11,83 @@
 
 use crate::{Capture, Outcome};
 
-/// Fewest retries each way between two limiters that compare their clocks.
+/// Minimum number of retries in each direction between two limiters for a comparison of their clocks.
 const MIN_RETRIES: usize = 8;
-/// A smaller difference is not corrected, as the waits of clients vary by as much.
+/// Minimum difference that is corrected. The waits of clients vary by smaller differences.
 const MIN_CORRECTED_MICROS: i64 = 20_000;
-/// A key that is seen again after a longer wait is not a retry of the same request.
-const MAX_RETRY_WAIT: i64 = 30_000_000;
+/// Maximum wait before a retry. A key that is repeated after a longer wait is not a retry of the same request.
+const MAX_RETRY_WAIT_MICROS: i64 = 30_000_000;
 
-/// How far a clock is ahead of that of the first capture.
+/// Estimated offset of a limiter's clock from the clock of the first capture.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockOffset {
-    /// Microseconds ahead; negative where it is behind.
+    /// Microseconds that the clock is ahead; negative if it is behind.
     pub micros: i64,
-    /// How far the estimate may be off, in microseconds.
+    /// Uncertainty of the estimate, in microseconds.
     pub within: u64,
 }
 
 impl ClockOffset {
     const NONE: ClockOffset = ClockOffset { micros: 0, within: 0 };
 
-    /// Whether it is large enough to be corrected.
+    /// Whether the offset is large enough to be corrected.
     pub(crate) fn is_significant(self) -> bool {
         self.micros.abs() >= MIN_CORRECTED_MICROS
     }
 
-    /// The offset of a clock that is `step` ahead of this one.
-    fn plus(self, step: ClockOffset) -> ClockOffset {
-        ClockOffset { micros: self.micros + step.micros, within: self.within + step.within }
+    /// Returns the offset of a clock that is ahead of this one by `difference`.
+    fn plus(self, difference: ClockOffset) -> ClockOffset {
+        ClockOffset { micros: self.micros + difference.micros, within: self.within + difference.within }
     }
 }
 
-/// The waits of retries between limiters, by the capture of the first request and that of the retry, in microseconds.
+/// Client waits before retries, in microseconds, indexed by the capture of the first request and that of the retry.
 type RetryWaits = Vec<Vec<Vec<i64>>>;
 
-/// Estimates how far each capture's clock is ahead of the first one's; `None` where too few retries connect them.
+/// Estimates the offset of each capture's clock from the first one's; `None` if too few retries connect them, directly
+/// or through other captures.
 pub(crate) fn estimate_offsets(captures: &[Capture]) -> Vec<Option<ClockOffset>> {
     let waits = collect_waits(captures);
     let mut offsets = vec![None; captures.len()];
     if let Some(first) = offsets.first_mut() {
         *first = Some(ClockOffset::NONE);
     }
-    while let Some(step) = best_supported_step(&waits, &offsets) {
-        offsets[step.to] = Some(step.offset);
+    while let Some(comparison) = best_comparison(&waits, &offsets) {
+        offsets[comparison.to] = Some(comparison.offset);
     }
     offsets
 }
 
-/// One record of a key.
+/// A request with an idempotency key, in one of the captures.
 #[derive(Clone, Copy)]
-struct Sighting {
+struct KeyedRequest {
     capture: usize,
     at: i64,
     answered_at: i64,
     was_served: bool,
 }
 
-fn sightings_by_key(captures: &[Capture]) -> HashMap<u64, Vec<Sighting>> {
-    let mut sightings: HashMap<u64, Vec<Sighting>> = HashMap::new();
+fn requests_by_key(captures: &[Capture]) -> HashMap<u64, Vec<KeyedRequest>> {
+    let mut requests: HashMap<u64, Vec<KeyedRequest>> = HashMap::new();
     for (index, capture) in captures.iter().enumerate() {
         for record in capture.records.iter().filter(|record| record.key != 0) {
             let at = record.at as i64;
-            let sighting = Sighting {
+            let request = KeyedRequest {
                 capture: index,
                 at,
                 answered_at: at + i64::from(record.latency),
                 was_served: record.outcome == Outcome::Served,
             };
-            sightings.entry(record.key).or_default().push(sighting);
+            requests.entry(record.key).or_default().push(request);
         }
     }
-    sightings
+    requests
 }
 
 fn collect_waits(captures: &[Capture]) -> RetryWaits {
     let mut waits = vec![vec![Vec::new(); captures.len()]; captures.len()];
-    for sightings in sightings_by_key(captures).values() {
-        let [a, b] = sightings[..] else { continue };
+    for requests in requests_by_key(captures).values() {
+        let [a, b] = requests[..] else { continue };
         if a.capture == b.capture {
             continue;
         }
@@ -97,47 +98,49 @@
             _ => continue,
         };
         let wait = retry.at - first.answered_at;
-        if wait.abs() < MAX_RETRY_WAIT {
+        if wait.abs() < MAX_RETRY_WAIT_MICROS {
             waits[first.capture][retry.capture].push(wait);
         }
     }
     waits
 }
 
-/// A clock whose offset becomes known by comparison with one that already is.
-struct Step {
+/// An offset that follows from the comparison of a clock with one whose offset is known.
+struct Comparison {
+    /// Index of the capture whose clock is compared.
     to: usize,
     offset: ClockOffset,
-    /// Retries each way behind it, at least.
+    /// Number of retries in the direction with fewer of them.
     retries: usize,
 }
 
-/// The next clock to compare: that with the most retries between it and one whose offset is known.
-fn best_supported_step(waits: &RetryWaits, offsets: &[Option<ClockOffset>]) -> Option<Step> {
-    let mut best: Option<Step> = None;
+/// Compares all clocks of unknown offset with those of known offset. Returns the comparison based on the most retries,
+/// `None` if there are too few for any.
+fn best_comparison(waits: &RetryWaits, offsets: &[Option<ClockOffset>]) -> Option<Comparison> {
+    let mut best: Option<Comparison> = None;
     for (from, known) in offsets.iter().enumerate() {
         let Some(known) = known else { continue };
         for to in (0..offsets.len()).filter(|to| offsets[*to].is_none()) {
-            let (there, back) = (&waits[from][to], &waits[to][from]);
-            let Some(difference) = clock_difference(there, back) else { continue };
-            let retries = there.len().min(back.len());
+            let (forward, backward) = (&waits[from][to], &waits[to][from]);
+            let Some(difference) = clock_difference(forward, backward) else { continue };
+            let retries = forward.len().min(backward.len());
             if best.as_ref().is_none_or(|best| retries > best.retries) {
-                best = Some(Step { to, offset: known.plus(difference), retries });
+                best = Some(Comparison { to, offset: known.plus(difference), retries });
             }
         }
     }
     best
 }
 
-/// How far a second clock is ahead of a first one, by the waits from the first to it and back. The estimate may be off
-/// by half the mean interquartile range of the waits.
-fn clock_difference(there: &[i64], back: &[i64]) -> Option<ClockOffset> {
-    if there.len() < MIN_RETRIES || back.len() < MIN_RETRIES {
+/// Returns how far a second clock is ahead of a first, given the waits in both directions; `None` if there are too few.
+/// The uncertainty is half the mean interquartile range of the waits.
+fn clock_difference(forward: &[i64], backward: &[i64]) -> Option<ClockOffset> {
+    if forward.len() < MIN_RETRIES || backward.len() < MIN_RETRIES {
         return None;
     }
-    let (there, back) = (Quartiles::of(there), Quartiles::of(back));
-    let micros = (there.median - back.median) / 2;
-    let within = ((there.range() + back.range()) / 4).unsigned_abs();
+    let (forward, backward) = (Quartiles::of(forward), Quartiles::of(backward));
+    let micros = (forward.median - backward.median) / 2;
+    let within = ((forward.range() + backward.range()) / 4).unsigned_abs();
     Some(ClockOffset { micros, within })
 }
 
@@ -155,6 +158,7 @@
         Quartiles { lower: quarter(1), median: quarter(2), upper: quarter(3) }
     }
 
+    /// The interquartile range.
     fn range(&self) -> i64 {
         self.upper - self.lower
     }
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -136,7 +136,7 @@
 }
 
 impl Capture {
-    /// Whether the capture was merged from those of several limiters.
+    /// Whether the capture is the result of a merge.
     fn is_merged(&self) -> bool {
         !self.header.merged_from.is_empty()
     }
--- a/crates/capture/src/merge.rs
+++ b/crates/capture/src/merge.rs
@@ -1,4 +1,4 @@
-//! Merging of several limiters' captures into one, by time.
+//! Merges the captures of several limiters into one, in order of time.
 
 use std::collections::BTreeSet;
 
@@ -8,51 +8,51 @@
 use crate::error::{MergeError, TierDifference};
 use crate::{Capture, Header, Micros, Record, Warning};
 
-/// One of the captures that a merged capture consists of.
+/// A capture that is part of a merged capture.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Source {
-    /// Name of the limiter that wrote it.
+    /// Name of the limiter that wrote the capture.
     pub limiter: String,
-    /// The limiter's number, from 0.
+    /// Number of the limiter, from 0.
     pub number: u32,
-    /// Number of its records.
+    /// Number of records in the capture.
     pub records: usize,
-    /// Number of records that the limiter lost, which are missing here.
+    /// Number of records that the limiter dropped, which the capture lacks.
     pub dropped: u64,
-    /// How far its clock was ahead of the first source's; `None` where that is unknown. A significant offset was
-    /// subtracted from its times.
+    /// Estimated offset of the limiter's clock from that of the first source; `None` if there were too few retries for
+    /// an estimate. A significant offset has been subtracted from the times of the records.
     pub offset: Option<ClockOffset>,
 }
 
-/// Several captures in one.
+/// Several captures merged into one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Merged {
     /// Names of classes, indexed by [`Record::class`].
     pub classes: Vec<String>,
     /// Names of plans, indexed by [`Record::plan`].
     pub plans: Vec<String>,
-    /// How many limiters the tier has, including those without a capture here.
+    /// Total number of limiters of the tier, including those without a capture here.
     pub limiters: u32,
-    /// Identifies the hash key, which all sources share; see [`crate::KeyedHash::id`].
+    /// Identifies the hash key that all sources share; see [`crate::KeyedHash::id`].
     pub key_id: u64,
-    /// When the limiter of the first source started, by its own clock.
+    /// Time at which the limiter of the first source started, by its own clock.
     pub started: Micros,
     /// The captures that were merged, indexed by [`Record::source`].
     pub sources: Vec<Source>,
-    /// By time; each holds the index of its source.
+    /// Records of all sources, in order of arrival; each holds the index of its source.
     pub records: Vec<Record>,
     /// Names of backends of all sources, indexed by [`Record::destination`].
     pub destinations: Vec<String>,
-    /// What limits the accuracy of this capture, for the reports that are based on it.
+    /// What limits the accuracy of this capture, and of reports that are based on it.
     pub warnings: Vec<Warning>,
 }
 
-/// Merges captures of one tier. The clocks are compared by retries that came through two limiters, and corrected. A
-/// single capture that is merged already is returned as it is.
+/// Merges captures of one tier. Differences between the limiters' clocks are estimated from retries that came through
+/// two limiters, and corrected. A single capture that is the result of a merge is returned unchanged.
 ///
 /// # Errors
-/// The text of a [`MergeError`], where the captures are not of one tier: other classes, plans, hash keys or numbers
-/// of limiters, or one limiter twice.
+/// Returns the text of a [`MergeError`] if there are no captures, if the captures are of different tiers, if one of
+/// several captures is the result of a merge, or if two captures are of the same incarnation of a limiter.
 pub fn merge(captures: Vec<Capture>) -> Result<Merged, String> {
     merge_captures(captures).map_err(|e| e.to_string())
 }
@@ -75,7 +75,7 @@
     Ok(merged)
 }
 
-/// Checks that the captures are limiters' own, and of one tier.
+/// Checks that each capture is of a different incarnation of a limiter, and all are of one tier.
 fn check_one_tier(captures: &[Capture]) -> Result<(), MergeError> {
     if let Some(merged) = captures.iter().find(|capture| capture.is_merged()) {
         return Err(MergeError::AlreadyMerged { limiter: merged.header.limiter.clone() });
@@ -107,7 +107,8 @@
     }
 }
 
-/// Whether all captures of a limiter are of different incarnations: a restarted limiter leaves one of each.
+/// Whether all captures of a limiter are of different incarnations. A limiter that restarts writes a capture for each
+/// incarnation.
 fn starts_differ(captures: &[Capture], number: u32) -> bool {
     let of_limiter = captures.iter().filter(|capture| capture.header.number == number);
     let starts: Vec<Micros> = of_limiter.map(|capture| capture.header.started).collect();
@@ -116,7 +117,7 @@
 }
 
 impl Merged {
-    /// A merged capture without sources, of the tier of a capture.
+    /// Returns an empty merged capture with the tier's properties from a header.
     fn new(first: &Header) -> Merged {
         Merged {
             classes: first.classes.clone(),
@@ -131,7 +132,7 @@
         }
     }
 
-    /// A merged capture that was read from a file.
+    /// Converts a merged capture that was read from a file.
     fn from_merged_file(capture: Capture) -> Merged {
         let mut merged = Merged::new(&capture.header);
         merged.sources = capture.header.merged_from;
@@ -147,7 +148,7 @@
         merged
     }
 
-    /// Adds a limiter's own capture, with its times corrected.
+    /// Adds the capture of a limiter, with its times corrected by the clock offset.
     fn add(&mut self, capture: Capture, offset: Option<ClockOffset>) {
         let limiter = capture.header.limiter;
         if let Some(damage) = &capture.damage {
@@ -173,7 +174,7 @@
         }));
     }
 
-    /// Adds destinations that are new; returns the index of each.
+    /// Adds the destinations that are not yet listed; returns the index of each of `names`.
     fn add_destinations(&mut self, names: Vec<String>) -> Vec<u16> {
         let mut indexes = Vec::with_capacity(names.len());
         for name in names {
@@ -186,7 +187,7 @@
         indexes
     }
 
-    /// The header of a file that holds this capture.
+    /// Returns the header for a file that holds this capture.
     pub fn header(&self) -> Header {
         let names: Vec<&str> = self.sources.iter().map(|source| source.limiter.as_str()).collect();
         Header {
--- a/crates/capture/src/reader/tests.rs
+++ b/crates/capture/src/reader/tests.rs
@@ -1,8 +1,8 @@
 //! Blocks whose number of versions differs from the number of their records must be reported as damage.
 //!
-//! Guards against an error in which a block with exactly one version too few was read as intact, and its last record as
-//! one without a version: zipping the records with the versions consumed one record more than there were versions, so that
-//! the check for remaining records missed it. Blocks with 2 or 3 versions too few were rejected.
+//! Guards against an error in which a block with exactly one version too few was read as intact, and its last record
+//! as one without a version: zipping the records with the versions consumed one record more than there were versions,
+//! so that the check for remaining records missed it. Blocks with 2 or 3 versions too few were rejected.
 
 use super::*;
 use crate::format::{VersionRun, COMPRESSION_LEVEL};
