--- a/crates/capture/src/warning.rs
+++ b/crates/capture/src/warning.rs
@@ -1,4 +1,4 @@
-//! What limits the accuracy of a merged capture.
+//! Warnings about a merged capture.
 
 use std::fmt;
 
@@ -7,49 +7,50 @@
 
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 
-/// What limits the accuracy of a merged capture.
+/// A condition that limits the accuracy of a merged capture.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Warning {
-    /// Numbers of the limiters of the tier that have no capture here.
+    /// Captures of some limiters of the tier are missing; holds the numbers of these limiters.
     Missing(Vec<u32>),
-    /// A limiter lost records, so that its rates are scaled up.
+    /// A limiter dropped records; its rates are scaled up to compensate.
     Dropped {
         /// Name of the limiter.
         limiter: String,
-        /// Number of records that were lost.
+        /// Number of records that were dropped.
         records: u64,
     },
-    /// A limiter's file can't be read to its end; records before it are used.
+    /// The capture of a limiter is damaged; the records before the damage are used.
     Damaged {
         /// Name of the limiter.
         limiter: String,
-        /// Where the damage begins and what it is, as the text of a [`crate::Damage`].
+        /// The text of the [`crate::Damage`].
         why: String,
     },
-    /// A clock was so many microseconds ahead of the first source's (behind where negative), and was corrected.
+    /// The clock of a limiter differed from that of the first source, and its times were corrected.
     ClockOff {
-        /// Name of the limiter whose clock it is.
+        /// Name of the limiter.
         limiter: String,
-        /// Microseconds ahead; negative where the clock is behind.
+        /// Microseconds that the clock was ahead; negative if it was behind.
         offset: i64,
-        /// How far the estimate may be off, in microseconds.
+        /// Uncertainty of the offset, in microseconds.
         within: u64,
     },
-    /// Too few retries came through two limiters to compare the clock.
+    /// Too few retries came through two limiters to compare the clock of a limiter; it is assumed to be right.
     ClockUnknown {
-        /// Name of the limiter, whose clock is taken as right.
+        /// Name of the limiter.
         limiter: String,
     },
 }
 
 impl Warning {
-    /// The warning of missing limiters, if any of a tier of `limiters` is not among `present`.
+    /// Returns a warning about the limiters, of `limiters` in total, for which `present` returns false; `None` if there
+    /// are none.
     pub(crate) fn of_missing(limiters: u32, present: impl Fn(u32) -> bool) -> Option<Warning> {
         let missing: Vec<u32> = (0..limiters).filter(|number| !present(*number)).collect();
         (!missing.is_empty()).then_some(Warning::Missing(missing))
     }
 
-    /// The warnings of a source's lost records and its clock.
+    /// Returns the warnings about the dropped records and the clock of a source.
     pub(crate) fn of_source(source: &Source) -> Vec<Warning> {
         let limiter = || source.limiter.clone();
         let mut warnings = Vec::new();
@@ -91,7 +92,10 @@
                 within / MICROS_PER_MILLISECOND
             ),
             Warning::ClockUnknown { limiter } => {
-                write!(f, "{limiter}: too few retries came through two limiters to compare its clock; assumed to be right")
+                write!(
+                    f,
+                    "{limiter}: too few retries came through two limiters to compare its clock; assumed to be right"
+                )
             }
         }
     }
--- a/crates/capture/src/writer.rs
+++ b/crates/capture/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writing of captures.
+//! Writes captures.
 
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -9,21 +9,22 @@
 };
 use crate::{Header, Record};
 
-/// Writes a capture.
+/// Writes a capture file.
 pub struct Writer<W: Write> {
     out: W,
-    /// Records that are not written yet.
+    /// The block that collects records until it is written.
     block: Block,
-    /// Indexes of the destinations that were named so far.
+    /// Indexes of all destinations named so far.
     destinations: HashMap<String, u16>,
+    /// Number of bytes written so far.
     written: u64,
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins a file by writing its header.
+    /// Creates a writer and writes the header of the file.
     ///
     /// # Errors
-    /// Where `out` can't be written.
+    /// Returns an error if writing to `out` fails.
     pub fn new(mut out: W, header: &Header) -> io::Result<Writer<W>> {
         let header = postcard::to_stdvec(header).map_err(io::Error::other)?;
         let mut bytes = MAGIC.to_vec();
@@ -36,10 +37,10 @@
         Ok(Writer { out, block: Block::default(), destinations: HashMap::new(), written })
     }
 
-    /// Adds a record with its destination's name. Writes a block once it is full.
+    /// Adds a record, with the name of its destination if it has one. Writes the block if the record fills it.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// Returns an error if writing fails.
     pub fn push(&mut self, mut record: Record, destination: Option<&str>) -> io::Result<()> {
         record.destination = destination.and_then(|name| self.destination_index(name));
         self.block.records.push(record);
@@ -49,7 +50,7 @@
         Ok(())
     }
 
-    /// The index of a destination; `None` where there are more destinations than indexes.
+    /// Returns the index of a destination, which is added if it is new; `None` if all indexes are in use.
     fn destination_index(&mut self, name: &str) -> Option<u16> {
         if let Some(index) = self.destinations.get(name) {
             return Some(*index);
@@ -60,15 +61,15 @@
         Some(index)
     }
 
-    /// Counts records that were lost.
+    /// Adds to the number of dropped records.
     pub fn record_dropped(&mut self, records: u64) {
         self.block.dropped += records;
     }
 
-    /// Writes pending records, so that a file that is torn later still holds them.
+    /// Writes the pending records as a block, so that they are readable even if the file is truncated later.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// Returns an error if writing fails.
     pub fn flush(&mut self) -> io::Result<()> {
         let block = std::mem::take(&mut self.block);
         if block.records.is_empty() && block.dropped == 0 {
@@ -82,15 +83,15 @@
         self.out.flush()
     }
 
-    /// Bytes written so far.
+    /// Returns the number of bytes written so far.
     pub fn written(&self) -> u64 {
         self.written
     }
 
-    /// Writes pending records and the end mark, without which readers report the file as torn.
+    /// Writes the pending records and the end mark. Readers report a file without an end mark as damaged.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// Returns an error if writing fails.
     pub fn finish(mut self) -> io::Result<W> {
         self.flush()?;
         self.out.write_all(&encode_frame(END_MARK, &[], 0))?;
@@ -99,7 +100,8 @@
     }
 }
 
-/// Encodes a block, with the times of its records moved into steps, and the versions behind it where there are any.
+/// Encodes a block, followed by the versions of its records if there are any. The times of the records are moved into
+/// `base` and `steps`.
 fn encode_block(mut block: Block) -> io::Result<Vec<u8>> {
     block.base = block.records.first().map_or(0, |record| record.at);
     let mut previous = block.base;
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -1,14 +1,14 @@
-//! Captures byte for byte as earlier releases write and read them.
+//! Captures are written and read byte for byte as in earlier releases.
 
 use sedgestack_capture::{read, Capture, ClockOffset, CounterState, Header, Outcome, Record, Source, Writer};
 
 const STARTED: u64 = 1_764_700_000_000_000;
 const DROPPED: u64 = 42;
-/// Records of the first block; the others come after a flush.
-const FIRST_BLOCK: usize = 4;
+/// Number of records in the first block; the others are written after a flush.
+const FIRST_BLOCK_RECORDS: usize = 4;
 
-/// A capture by limiters that agree on no versions of the runtime configuration, one by limiters that do, and a merged
-/// one.
+/// Three recorded files with the captures that they hold: a capture without versions of the runtime configuration, one
+/// with versions, and a merged capture.
 fn captures() -> [(&'static [u8], Capture); 3] {
     let plain = Capture {
         header: header(Vec::new()),
@@ -18,14 +18,13 @@
         damage: None,
     };
     let versions = [None, None, Some(0), Some(0), Some(1), Some(1), Some(300)];
-    let with_rules = records().into_iter().zip(versions).map(|(r, rules)| Record { rules, ..r });
-    let with_rules = Capture { records: with_rules.collect(), ..plain.clone() };
+    let with_versions = records().into_iter().zip(versions).map(|(r, rules)| Record { rules, ..r });
+    let with_versions = Capture { records: with_versions.collect(), ..plain.clone() };
     let sources = records().into_iter().enumerate().map(|(n, r)| Record { source: n as u16 % 2, ..r });
-    let merged =
-        Capture { header: header(sources_of_a_merge()), records: sources.collect(), ..plain.clone() };
+    let merged = Capture { header: header(merged_sources()), records: sources.collect(), ..plain.clone() };
     [
         (include_bytes!("fixtures/plain.sedgecap"), plain),
-        (include_bytes!("fixtures/rules.sedgecap"), with_rules),
+        (include_bytes!("fixtures/rules.sedgecap"), with_versions),
         (include_bytes!("fixtures/merged.sedgecap"), merged),
     ]
 }
@@ -43,7 +42,7 @@
     }
 }
 
-fn sources_of_a_merge() -> Vec<Source> {
+fn merged_sources() -> Vec<Source> {
     let source = |number: u32, offset| Source {
         limiter: format!("n{number}"),
         number,
@@ -54,7 +53,8 @@
     vec![source(0, None), source(1, Some(ClockOffset { micros: -1_000_000, within: 5_000 }))]
 }
 
-/// A record of each outcome and each state of the counter; the fourth goes back in time, as answers may.
+/// Records with each outcome and each state of the counter. The fourth arrived before the third, because records are in
+/// the order of the answers.
 fn records() -> Vec<Record> {
     let first = Record {
         at: STARTED + 1_000,
@@ -106,29 +106,29 @@
     ]
 }
 
-fn written(capture: &Capture) -> Vec<u8> {
-    let mut writer = Writer::new(Vec::new(), &capture.header).expect("memory takes it");
-    for (place, record) in capture.records.iter().enumerate() {
-        if place == FIRST_BLOCK {
-            writer.flush().expect("memory takes it");
+fn write(capture: &Capture) -> Vec<u8> {
+    let mut writer = Writer::new(Vec::new(), &capture.header).expect("in-memory write");
+    for (index, record) in capture.records.iter().enumerate() {
+        if index == FIRST_BLOCK_RECORDS {
+            writer.flush().expect("in-memory write");
             writer.record_dropped(capture.dropped);
         }
         let destination = record.destination.map(|d| capture.destinations[usize::from(d)].as_str());
-        writer.push(record.clone(), destination).expect("memory takes it");
+        writer.push(record.clone(), destination).expect("in-memory write");
     }
-    writer.finish().expect("memory takes it")
+    writer.finish().expect("in-memory write")
 }
 
 #[test]
-fn captures_are_read_as_recorded() {
+fn recorded_files_are_read() {
     for (recorded, capture) in captures() {
-        assert_eq!(read("recorded", recorded).expect("it is a capture"), capture);
+        assert_eq!(read("recorded", recorded).expect("a capture"), capture);
     }
 }
 
 #[test]
 fn captures_are_written_as_recorded() {
     for (recorded, capture) in captures() {
-        assert_eq!(written(&capture), recorded);
+        assert_eq!(write(&capture), recorded);
     }
 }
