--- a/crates/capture/src/clocks.rs
+++ b/crates/capture/src/clocks.rs
@@ -13,7 +13,7 @@
 
 /// Minimum number of retries in each direction between two limiters for a comparison of their clocks.
 const MIN_RETRIES: usize = 8;
-/// Minimum difference that is corrected. The waits of clients vary by smaller differences.
+/// Minimum difference that is corrected. Smaller ones are within the variation of the clients' waits.
 const MIN_CORRECTED_MICROS: i64 = 20_000;
 /// Maximum wait before a retry. A key that is repeated after a longer wait is not a retry of the same request.
 const MAX_RETRY_WAIT_MICROS: i64 = 30_000_000;
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -32,7 +32,7 @@
     /// in the records themselves are set to 0.
     pub(crate) steps: Vec<i64>,
     pub(crate) records: Vec<Record>,
-    /// Names of destinations that no earlier block contains.
+    /// Names of the destinations that first occur in this block.
     pub(crate) destinations: Vec<String>,
     /// Number of records dropped since the previous block.
     pub(crate) dropped: u64,
--- a/crates/fleet/src/machines.rs
+++ b/crates/fleet/src/machines.rs
@@ -13,7 +13,7 @@
     pub limiters: u32,
 }
 
-/// One-way network delays, in microseconds.
+/// Mean one-way network delays, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Delays {
     /// Between machines of one zone.
@@ -22,7 +22,7 @@
     pub cross_zone: Micros,
     /// Between clients and limiters.
     pub client: Micros,
-    /// Random variation of each delay, as a share of it, 0 to 1.
+    /// Maximum random deviation from each of these mean delays, as a share of it, 0 to 1.
     pub jitter: f64,
 }
 
