--- a/crates/fleet/src/decode/machines.rs
+++ b/crates/fleet/src/decode/machines.rs
@@ -1,11 +1,11 @@
-//! The blocks on machines, the network and the rules of the platform.
+//! Decodes the blocks on backends, limiters, the quota counter, the network and the platform's limits.
 
 use sedgestack_hcl::{ConfigError, Section};
 
-use super::{DEFAULT_MOST_UNITS, MILLIS, MOST_BACKENDS, MOST_LIMITERS, SECONDS};
+use super::{DEFAULT_MAX_UNITS, MAX_BACKENDS, MAX_LIMITERS, MILLIS, SECONDS};
 use crate::*;
 
-pub(super) fn backend_kind(section: &Section<'_>) -> Result<BackendKind, ConfigError> {
+pub(super) fn decode_backend_kind(section: &Section<'_>) -> Result<BackendKind, ConfigError> {
     let cores = section.integer("cores", 1..=256)? as u32;
     let kind = BackendKind {
         name: section.label()?.to_string(),
@@ -20,9 +20,10 @@
         slow_start: section.duration_or("cold", 0)?,
         connections: section.integer_or("connections", 1..=1_000_000, 1_000)? as u32,
         handshake: section.duration_or("handshake", MILLIS)?,
-        cancel: [Cancel::Queued, Cancel::Ignored][section.keyword_or_first("cancel", &["queued", "none"])?],
+        cancel: [CancelPolicy::Queued, CancelPolicy::Ignored]
+            [section.keyword_or_first("cancel", &["queued", "none"])?],
         drops_expired: section.bool_or("drops_expired", true)?,
-        report_every: section.duration_or("report_every", 500 * MILLIS)?.max(MILLIS),
+        report_interval: section.duration_or("report_every", 500 * MILLIS)?.max(MILLIS),
         report_delay: section.duration_or("report_delay", 0)?,
         report_noise: section.number_or("report_noise", 0.0..=1.0, 0.0)?,
         error_share: section.number_or("error_share", 0.0..=1.0, 0.0)?,
@@ -31,29 +32,29 @@
     Ok(kind)
 }
 
-pub(super) fn zone(section: &Section<'_>, kinds: &[BackendKind]) -> Result<Zone, ConfigError> {
+pub(super) fn decode_zone(section: &Section<'_>, kinds: &[BackendKind]) -> Result<Zone, ConfigError> {
     let mut backends = vec![0; kinds.len()];
-    let own = section.blocks("workers");
-    for block in &own {
+    let blocks = section.blocks("workers");
+    for block in &blocks {
         let name = block.label()?;
         let index = kinds.iter().position(|kind| kind.name == name);
         let index = index.ok_or_else(|| {
             let known: Vec<&str> = kinds.iter().map(|kind| kind.name.as_str()).collect();
-            block.error(format!("expected a kind that a worker block names: {}", known.join(", ")))
+            block.error(format!("expected the name of a worker block: {}", known.join(", ")))
         })?;
-        backends[index] += block.integer("count", 0..=MOST_BACKENDS)? as u32;
+        backends[index] += block.integer("count", 0..=MAX_BACKENDS)? as u32;
         block.reject_unknown_keys()?;
     }
     let zone = Zone {
         name: section.label()?.to_string(),
         backends,
-        limiters: section.integer_or("limiters", 0..=MOST_LIMITERS, 0)? as u32,
+        limiters: section.integer_or("limiters", 0..=MAX_LIMITERS, 0)? as u32,
     };
     section.reject_unknown_keys()?;
     Ok(zone)
 }
 
-pub(super) fn delays(section: &Section<'_>) -> Result<Delays, ConfigError> {
+pub(super) fn decode_delays(section: &Section<'_>) -> Result<Delays, ConfigError> {
     let delays = Delays {
         same_zone: section.duration("same_room")?,
         cross_zone: section.duration("cross_room")?,
@@ -64,7 +65,7 @@
     Ok(delays)
 }
 
-pub(super) fn counter(section: &Section<'_>, zones: &[Zone]) -> Result<Counter, ConfigError> {
+pub(super) fn decode_counter(section: &Section<'_>, zones: &[Zone]) -> Result<Counter, ConfigError> {
     let names: Vec<&str> = zones.iter().map(|zone| zone.name.as_str()).collect();
     let counter = Counter {
         zone: section.keyword("room", &names)?,
@@ -72,13 +73,13 @@
         delay: section.duration_or("delay", MILLIS)?,
         timeout: section.duration("timeout")?,
         queue_capacity: section.integer_or("line", 1..=1_000_000, 64)? as u32,
-        back_after: section.duration_or("back_after", 5 * SECONDS)?,
+        recovery_time: section.duration_or("back_after", 5 * SECONDS)?,
     };
     section.reject_unknown_keys()?;
     Ok(counter)
 }
 
-pub(super) fn limiter(section: &Section<'_>) -> Result<Limiter, ConfigError> {
+pub(super) fn decode_limiter(section: &Section<'_>) -> Result<Limiter, ConfigError> {
     let limiter = Limiter {
         cores: section.number_or("cores", 0.01..=64.0, 1.0)?,
         cpu_per_request: section.duration("cpu_per_request")? as f64,
@@ -89,24 +90,24 @@
     Ok(limiter)
 }
 
-pub(super) fn discovery(section: Option<Section<'_>>) -> Result<Discovery, ConfigError> {
-    let spans = |low, high| (low * MILLIS, high * MILLIS);
+pub(super) fn decode_discovery(section: Option<Section<'_>>) -> Result<Discovery, ConfigError> {
+    let range_ms = |low, high| (low * MILLIS, high * MILLIS);
     let mut discovery = Discovery {
-        notice: spans(800, 3_200),
-        silent_notice: spans(8_000, 13_000),
-        add: spans(300, 2_400),
-        front_notice: spans(900, 3_900),
+        removal_delay: range_ms(800, 3_200),
+        silent_removal_delay: range_ms(8_000, 13_000),
+        addition_delay: range_ms(300, 2_400),
+        limiter_removal_delay: range_ms(900, 3_900),
     };
     if let Some(section) = section {
-        for (key, place) in [
-            ("notice_s", &mut discovery.notice),
-            ("silent_notice_s", &mut discovery.silent_notice),
-            ("add_s", &mut discovery.add),
-            ("front_notice_s", &mut discovery.front_notice),
+        for (key, range) in [
+            ("notice_s", &mut discovery.removal_delay),
+            ("silent_notice_s", &mut discovery.silent_removal_delay),
+            ("add_s", &mut discovery.addition_delay),
+            ("front_notice_s", &mut discovery.limiter_removal_delay),
         ] {
             if section.contains(key) {
                 let (low, high) = section.range(key, 0.0..=3_600.0)?;
-                *place = ((low * 1e6) as Micros, (high * 1e6) as Micros);
+                *range = ((low * 1e6) as Micros, (high * 1e6) as Micros);
             }
         }
         section.reject_unknown_keys()?;
@@ -114,31 +115,31 @@
     Ok(discovery)
 }
 
-pub(super) fn rules(section: Option<Section<'_>>) -> Result<PlatformRules, ConfigError> {
+pub(super) fn decode_rules(section: Option<Section<'_>>) -> Result<PlatformRules, ConfigError> {
     let mut rules = PlatformRules {
         drain_grace: 250 * MILLIS,
-        fall_multiple: 4.0,
-        fall_window: 2 * SECONDS,
+        overload_multiple: 4.0,
+        overload_window: 2 * SECONDS,
         max_attempts: 4,
         max_retry_after: 500 * MILLIS,
         connect_timeout: 250 * MILLIS,
         keepalive: 30 * SECONDS,
-        most_units: DEFAULT_MOST_UNITS,
+        max_units: DEFAULT_MAX_UNITS,
     };
     if let Some(section) = section {
         rules.drain_grace = section.duration_or("drain_grace", rules.drain_grace)?;
-        rules.fall_multiple = section.number_or("fall_multiple", 1.0..=1e6, rules.fall_multiple)?;
-        rules.fall_window = section.duration_or("fall_window", rules.fall_window)?.max(MILLIS);
+        rules.overload_multiple = section.number_or("fall_multiple", 1.0..=1e6, rules.overload_multiple)?;
+        rules.overload_window = section.duration_or("fall_window", rules.overload_window)?.max(MILLIS);
         rules.max_attempts = section.integer_or("max_attempts", 1..=16, 4)? as u32;
         rules.max_retry_after = section.duration_or("max_retry_after", rules.max_retry_after)?;
         rules.connect_timeout = section.duration_or("connect_timeout", rules.connect_timeout)?;
         rules.keepalive = section.duration_or("keepalive", rules.keepalive)?;
-        rules.most_units = most_units(&section)?;
+        rules.max_units = decode_max_units(&section)?;
         section.reject_unknown_keys()?;
     }
     Ok(rules)
 }
 
-pub(super) fn most_units(rules: &Section<'_>) -> Result<u32, ConfigError> {
-    Ok(rules.integer_or("most_units", 1..=1_000, u64::from(DEFAULT_MOST_UNITS))? as u32)
+pub(super) fn decode_max_units(rules: &Section<'_>) -> Result<u32, ConfigError> {
+    Ok(rules.integer_or("most_units", 1..=1_000, u64::from(DEFAULT_MAX_UNITS))? as u32)
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! The fleet description: an HCL file that describes a fleet of limiters and the systems behind it.
+//! Reads fleet files: HCL descriptions of limiters, backends, the quota counter, the network and the load.
 //!
-//! [`Fleet::read`] decodes and checks a file. The model, the planner and rehearsals all start from the resulting
-//! [`Fleet`]. [`platform`] converts a fleet to the platform's own configuration format, for real daemons.
-//! The keys are described in `docs/operate/fleet-file.md`, with their units and ranges.
+//! [`Fleet::read`] decodes and validates a file into plain values, which the model, the planner and the rehearsals
+//! use. [`platform`] converts a fleet into the configuration of real limiters. `docs/operate/fleet-file.md` documents
+//! the keys with their units and ranges.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -16,36 +16,37 @@
 use sedgestack_hcl::Document;
 
 pub use machines::{
-    BackendKind, BackendLocation, Cancel, Counter, Delays, Discovery, Limiter, PlatformRules, Zone,
+    BackendKind, BackendLocation, CancelPolicy, Counter, Delays, Discovery, Limiter, PlatformRules, Zone,
 };
 pub use sedgestack_hcl::{ConfigError, Micros};
 pub use workload::{Class, Clients, Growth, GrowthBy, Idempotency, KeyScope, Load, Plan, Surge};
 
-/// Objectives of the planner, and the range in which it searches.
+/// Objectives that a plan must meet, and the range that the planner searches.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objectives {
-    /// Minimum share of answers inside quotas that must be within the latency objective, by class; 0 for no minimum.
+    /// Minimum share of the answers to requests within quotas that must meet the latency objective, by class index; 0
+    /// for a class without an objective.
     pub in_time: Vec<f64>,
-    /// Minimum and maximum number of backends to consider, over all zones.
+    /// Minimum and maximum total number of backends to consider.
     pub backends: (u32, u32),
-    /// Number of runs, each with its own seed, from which every figure is estimated.
+    /// Number of simulation runs, each with its own seed, from which each result is computed.
     pub seeds: u32,
-    /// Share of all backends that fail at once in the standard sudden loss.
+    /// Share of the backends that are lost at once in the standard loss scenario, 0 to 1.
     pub sudden_loss: f64,
 }
 
-/// A fleet: its limiters, the systems behind them, and its load.
+/// A validated fleet description.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     /// The fleet's name.
     pub name: String,
-    /// The fleet's zones.
+    /// Zones, in the order of the file.
     pub zones: Vec<Zone>,
-    /// Delays of the network.
+    /// Network delays.
     pub delays: Delays,
     /// The kinds of backends.
     pub backend_kinds: Vec<BackendKind>,
-    /// Maximum number of backends in one pod.
+    /// Maximum number of backends in a pod.
     pub pod_size: u32,
     /// The request classes.
     pub classes: Vec<Class>,
@@ -53,54 +54,56 @@
     pub plans: Vec<Plan>,
     /// The quota counter.
     pub counter: Counter,
-    /// Resources of each limiter, and the CPU time that a request costs it.
+    /// Resources of each limiter, and the CPU time of a request.
     pub limiter: Limiter,
     /// Delays of service discovery.
     pub discovery: Discovery,
-    /// The rules of the platform.
+    /// Limits and timeouts of the platform.
     pub rules: PlatformRules,
     /// The load that clients offer.
     pub load: Load,
     /// How clients retry and abandon requests.
     pub clients: Clients,
-    /// Temporary increases in the load of a class.
+    /// Surges in single classes during the load.
     pub surges: Vec<Surge>,
-    /// The growth of load to plan for; `None` if the file does not describe it.
+    /// Expected growth of the load, if any.
     pub growth: Option<Growth>,
     /// Objectives of the planner.
     pub objectives: Objectives,
 }
 
 impl Fleet {
-    /// Returns the fleet under a version of its runtime configuration.
-    pub fn with_rules(&self, rules: &sedgestack_runtime_config::Document) -> Fleet {
+    /// Returns this fleet with the plans, latency objectives, deadlines and maximum retry hint of a runtime
+    /// configuration. Plans and classes that the configuration does not name keep their values.
+    pub fn with_runtime_config(&self, config: &sedgestack_runtime_config::Document) -> Fleet {
         let mut fleet = self.clone();
         for plan in &mut fleet.plans {
-            if let Some(new) = rules.plans.get(&plan.name) {
+            if let Some(new) = config.plans.get(&plan.name) {
                 (plan.rate, plan.burst, plan.price) = (new.rate, new.burst, new.price);
             }
         }
         for class in &mut fleet.classes {
-            if let Some(new) = rules.classes.get(&class.name) {
+            if let Some(new) = config.classes.get(&class.name) {
                 (class.latency_objective, class.deadline) = (new.latency_objective, new.deadline);
             }
         }
-        fleet.rules.max_retry_after = rules.max_retry_after;
+        fleet.rules.max_retry_after = config.max_retry_after;
         fleet
     }
 
-    /// Reads, decodes and checks a file.
+    /// Reads and validates a fleet file.
     ///
     /// # Errors
-    /// Returns an error that names the file, line, column and key, and what was expected there.
+    /// Returns an error if the file can't be read or is invalid. The error names the file, line, column and key, and
+    /// what was expected there.
     pub fn read(path: &Path) -> Result<Fleet, ConfigError> {
         decode::decode_fleet(&Document::read(path)?)
     }
 
-    /// Decodes and checks `text`. `file` is the name that error messages show for it.
+    /// Parses and validates the text of a fleet file. Errors name `file` as the source.
     ///
     /// # Errors
-    /// Returns the same errors as [`Fleet::read`].
+    /// Returns an error if the text is invalid; see [`Fleet::read`].
     pub fn parse(file: &str, text: &str) -> Result<Fleet, ConfigError> {
         decode::decode_fleet(&Document::parse(file, text)?)
     }
@@ -115,13 +118,14 @@
         self.zones.iter().map(|zone| zone.limiters).sum()
     }
 
-    /// Returns the index of each limiter's zone, by the limiter's number.
+    /// Returns the zone index of each limiter, in the order of the limiters' numbers.
     pub fn limiter_zones(&self) -> Vec<usize> {
         let zones = self.zones.iter().enumerate();
         zones.flat_map(|(index, zone)| std::iter::repeat_n(index, zone.limiters as usize)).collect()
     }
 
-    /// Returns the location of each backend. Pods do not span zones; the last pod of a zone may be smaller.
+    /// Returns the location of each backend. No pod spans two zones; the last pod of a zone may be smaller than
+    /// `pod_size`.
     pub fn backend_locations(&self) -> Vec<BackendLocation> {
         let mut locations = Vec::new();
         let mut pod = 0;
@@ -141,8 +145,7 @@
         locations
     }
 
-    /// Returns the fleet with `total` limiters, spread evenly over the zones. Any remainder goes to the first zones,
-    /// one limiter each.
+    /// Returns this fleet with `total` limiters, distributed evenly over the zones. The first zones get the remainder.
     pub fn with_limiters(mut self, total: u32) -> Fleet {
         let zones = self.zones.len() as u32;
         for (index, zone) in self.zones.iter_mut().enumerate() {
@@ -151,9 +154,9 @@
         self
     }
 
-    /// Returns the fleet with `total` backends, spread evenly over the zones. Any remainder goes to the zones that have
-    /// the most backends now, one backend each. Within a zone, each kind but the first keeps its fraction of the
-    /// backends, rounded down to whole backends, and the rest is of the first kind.
+    /// Returns this fleet with `total` backends, distributed evenly over the zones. The zones that have the most
+    /// backends today get the remainder. Within a zone, each kind but the first keeps its share, rounded down to whole
+    /// backends, and the first kind gets the rest.
     pub fn with_backends(&self, total: u32) -> Fleet {
         let mut fleet = self.clone();
         let zones = self.zones.len() as u32;
@@ -162,24 +165,25 @@
         order.sort_by_key(|zone| std::cmp::Reverse(backends_of(*zone)));
         for (rank, zone) in order.into_iter().enumerate() {
             let new_count = total / zones + u32::from((rank as u32) < total % zones);
-            let today = backends_of(zone);
-            let mut left = new_count;
+            let old_count = backends_of(zone);
+            let mut remaining = new_count;
             for (kind, count) in fleet.zones[zone].backends.iter_mut().enumerate().rev() {
-                let part = (*count * new_count).checked_div(today).unwrap_or(0);
-                *count = if kind == 0 { left } else { part.min(left) };
-                left -= *count;
+                let part = (*count * new_count).checked_div(old_count).unwrap_or(0);
+                *count = if kind == 0 { remaining } else { part.min(remaining) };
+                remaining -= *count;
             }
         }
         fleet
     }
 
-    /// Returns the core-seconds of work that all backends together do in a second, once they have warmed up.
+    /// Returns the work that all backends together can do per second once they are warm, in seconds of a core of
+    /// speed 1.
     pub fn capacity(&self) -> f64 {
-        let of_zone = |zone: &Zone| -> f64 {
+        let zone_capacity = |zone: &Zone| -> f64 {
             let kinds = zone.backends.iter().zip(&self.backend_kinds);
             kinds.map(|(count, kind)| f64::from(*count) * f64::from(kind.cores) * kind.speed).sum()
         };
-        self.zones.iter().map(of_zone).sum()
+        self.zones.iter().map(zone_capacity).sum()
     }
 
     /// Returns the index of the class with this name.
