--- a/src/net/admin/cordon.rs
+++ b/src/net/admin/cordon.rs
@@ -10,10 +10,10 @@
 
 use super::respond::{error, has_body, ok, unexpected_body};
 use super::Admin;
+use crate::info;
 use crate::net::control::cordons;
 use crate::net::control::message::ControlCommand;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// Cordons a backend.
 pub(super) async fn cordon(State(admin): State<Arc<Admin>>, uri: Uri, headers: HeaderMap) -> Response {
@@ -71,6 +71,6 @@
     let Some(path) = &admin.cordon_file else { return };
     if let Err(e) = cordons::change(path, name, cordoned) {
         COUNTERS.cordons_unwritten.increment();
-        say!("cordons: {}: {e}; the cordons last only until this process ends", path.display());
+        info!("cordons: {}: {e}; the cordons last only until this process ends", path.display());
     }
 }
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -29,13 +29,13 @@
 use tokio::sync::{mpsc, watch, Mutex, Semaphore};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
+use crate::info;
 use crate::net::admin::stats::AdminStats;
 use crate::net::consensus::OperatorRequest;
 use crate::net::control::message::ControlCommand;
 use crate::net::runtime::metrics::COUNTERS;
 use crate::net::runtime::shutdown::Phase;
 use crate::net::runtime::socket_errors;
-use crate::say;
 
 /// Maximum number of connections served at a time. Further ones wait in the listener's queue.
 pub const MAX_CONNECTIONS: usize = 16;
@@ -75,7 +75,7 @@
     let bind_error = |source| BindError { address, source };
     let listener = TcpListener::bind(address).await.map_err(bind_error)?;
     let bound = listener.local_addr().map_err(bind_error)?;
-    say!("ops: listening on {bound}");
+    info!("ops: listening on {bound}");
     Ok(listener)
 }
 
@@ -96,7 +96,7 @@
             }
             Err(e) => {
                 COUNTERS.downstream_accept_failed.increment();
-                say!("ops: accept: {e}");
+                info!("ops: accept: {e}");
                 sleep_until(Instant::now() + ACCEPT_BACKOFF).await;
             }
         }
--- a/src/net/capture.rs
+++ b/src/net/capture.rs
@@ -15,9 +15,9 @@
 use sedgestack::BackendId;
 use sedgestack_capture::{Header, KeyedHash, Record, Writer};
 
+use crate::info;
 use crate::net::config::settings::CaptureSettings;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// Interval at which records are flushed to the file. If the process is killed, the records of up to this time are
 /// lost.
@@ -59,7 +59,7 @@
         let (dropped_by_queue, max_bytes) = (dropped.clone(), capture.max_bytes);
         let thread = thread::Builder::new().name("capture".into()).spawn(move || {
             if let Err(e) = write(writer, &entries, &dropped_by_queue, max_bytes) {
-                say!("capture: ended: {e}");
+                info!("capture: ended: {e}");
                 // The queue is still emptied, so that its records are counted as dropped.
                 entries.iter().for_each(|_| COUNTERS.capture_dropped.increment());
             }
@@ -107,7 +107,10 @@
             flushed_at = Instant::now();
             if writer.written() >= max_bytes {
                 is_full = true;
-                say!("capture: {} MB are written, the maximum; further records are dropped", max_bytes >> 20);
+                info!(
+                    "capture: {} MB are written, the maximum; further records are dropped",
+                    max_bytes >> 20
+                );
             }
         }
     }
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -20,13 +20,13 @@
 use super::intake::DatagramIntake;
 use super::operator_calls::{OperatorRequest, Proposal, ProposalOutcome};
 use super::store::{History, HistoryEntry, StateStore, StoredState};
+use crate::info;
 use crate::net::canary::{CanaryStep, CanaryWatch, Rollback, SecondOutcomes};
 use crate::net::config::settings::TierSettings;
 use crate::net::control::message::{ActiveVersions, ControlCommand, ScheduledConfigVersion};
 use crate::net::peers::OutgoingDatagram;
 use crate::net::runtime::clock::Clock;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// Interval at which the replica's timers are checked, in addition to each datagram and call.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -234,17 +234,17 @@
 
     fn on_replica_event(&mut self, event: ReplicaEvent) {
         match event {
-            ReplicaEvent::DocumentReceived { digest } => say!("tier: received document {digest}"),
+            ReplicaEvent::DocumentReceived { digest } => info!("tier: received document {digest}"),
             ReplicaEvent::Decided { slot, value } => self.on_decided(slot, value),
             ReplicaEvent::Activated { slot, digest } => self.on_activated(slot, digest),
-            ReplicaEvent::ProposalLost { slot } => say!("tier: version {slot}, proposed here, was not made"),
+            ReplicaEvent::ProposalLost { slot } => info!("tier: version {slot}, proposed here, was not made"),
             ReplicaEvent::ProposalUnanswered { slot, replicas } => {
-                say!("tier: gave up version {slot}: replicas {replicas:?} did not answer");
+                info!("tier: gave up version {slot}: replicas {replicas:?} did not answer");
                 if let Some(proposal) = self.proposal.as_mut().filter(|p| p.version == slot) {
                     proposal.unanswered = replicas;
                 }
             }
-            ReplicaEvent::StatusChanged(status) => say!("tier: replica status {status:?}"),
+            ReplicaEvent::StatusChanged(status) => info!("tier: replica status {status:?}"),
         }
     }
 
@@ -256,7 +256,7 @@
         let (author, reason) = document
             .map(|document| (document.provenance.author, document.provenance.reason))
             .unwrap_or_default();
-        say!("tier: version {slot} is decided: {value:?}");
+        info!("tier: version {slot} is decided: {value:?}");
         self.history.push(HistoryEntry {
             version: slot,
             digest: digest.map_or("configuration".into(), |digest| digest.to_string()),
@@ -272,7 +272,7 @@
     }
 
     fn on_activated(&mut self, slot: Slot, digest: Option<Digest>) {
-        say!("tier: version {slot} is active");
+        info!("tier: version {slot} is active");
         if digest.is_some_and(|digest| digest != self.served_document.digest()) {
             if let Some(document) = self.active_document() {
                 self.serve(slot, document);
@@ -324,7 +324,7 @@
         let Some(previous) = self.previous.clone() else { return };
         if self.propose(previous, BTreeSet::new()).is_ok() {
             COUNTERS.undone.increment();
-            say!("tier: service fell by {drop:.3} compared with the other plans; rolling the change back automatically");
+            info!("tier: service fell by {drop:.3} compared with the other plans; rolling the change back automatically");
             self.advance();
         }
     }
--- a/src/net/consensus/operator_calls.rs
+++ b/src/net/consensus/operator_calls.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 
 use super::actor::ConsensusActor;
-use crate::say;
+use crate::info;
 
 /// Reason why a call failed, with the status and text of its HTTP answer.
 #[derive(Debug, thiserror::Error)]
@@ -214,7 +214,7 @@
             ));
         }
         self.replica.adopt();
-        say!("tier: an operator requested to continue from the remaining state");
+        info!("tier: an operator requested to continue from the remaining state");
         Ok(self.status())
     }
 
@@ -227,7 +227,7 @@
         self.staged.remove(&digest);
         let outcome = ProposalOutcome::Open;
         self.proposal = Some(Proposal { version, digest, outcome, unanswered: Vec::new() });
-        say!("tier: version {version} is proposed here");
+        info!("tier: version {version} is proposed here");
         Ok(
             json!({"version": version, "digest": digest.to_string(), "at_us": now + self.settings.activation_delay}),
         )
--- a/src/net/consensus/store.rs
+++ b/src/net/consensus/store.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::{sleep, Instant};
 
+use crate::info;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// Maximum time that a replaced process holds the store after it has released its sockets. A process that exits
 /// releases files and sockets in no fixed order.
@@ -109,7 +109,7 @@
         let bytes = serde_json::to_vec(&state).expect("the state can be expressed as JSON");
         if let Err(e) = store.save(&bytes) {
             COUNTERS.tier_unsaved.increment();
-            say!("tier: {e}; no datagrams are sent");
+            info!("tier: {e}; no datagrams are sent");
             return false;
         }
         COUNTERS.tier_saved.increment();
@@ -135,7 +135,7 @@
     };
     if let Some(aside) = opened.quarantined {
         COUNTERS.tier_set_aside.increment();
-        say!(
+        info!(
             "tier: store: {path}: {}; set aside as {}, its votes are lost",
             aside.reason,
             aside.moved_to.display()
--- a/src/net/control/actor.rs
+++ b/src/net/control/actor.rs
@@ -17,6 +17,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, Instant};
 
+use crate::info;
 use crate::net::admin::stats::AdminStats;
 use crate::net::canary::OutcomeRecorder;
 use crate::net::capture::CaptureRecorder;
@@ -38,7 +39,6 @@
 use crate::net::runtime::log;
 use crate::net::runtime::metrics::COUNTERS;
 use crate::net::upstream::{BackendCommand, UpstreamShared};
-use crate::say;
 
 /// Maximum number of messages per batch, so that a flood of messages cannot delay timers.
 const MAX_BATCH: usize = 256;
@@ -246,7 +246,7 @@
         // with other classes and plans than the others.
         let adopted = self.limiter.adopt_version(&version.classes, &version.plans);
         let indices =
-            adopted.map_err(|e| say!("rules: version {} cannot be adopted: {e}", version.number)).ok()?;
+            adopted.map_err(|e| info!("rules: version {} cannot be adopted: {e}", version.number)).ok()?;
         Some(Version {
             number: version.number,
             latency_objectives: version.classes.iter().map(|class| class.latency_objective).collect(),
@@ -433,7 +433,7 @@
             Action::Subscribe => {}
             Action::SendToPeers { bytes } => self.send_to_peers(bytes),
             Action::SetTimer { after } => self.timers.schedule(now + after),
-            Action::Log { text } => say!("module: {text}"),
+            Action::Log { text } => info!("module: {text}"),
         }
     }
 
--- a/src/net/control/cordons.rs
+++ b/src/net/control/cordons.rs
@@ -21,9 +21,9 @@
 use tokio::sync::{mpsc, oneshot, Mutex};
 use tokio::time::{interval, MissedTickBehavior};
 
+use crate::info;
 use crate::net::control::message::ControlCommand;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 #[cfg(test)]
 mod tests;
@@ -63,7 +63,7 @@
 /// Logs and counts an unreadable file. `consequence` describes what happens instead.
 fn report_unreadable(path: &Path, error: &CordonsError, consequence: &str) {
     COUNTERS.cordons_unreadable.increment();
-    say!("cordons: {}: {error}; {consequence}", path.display());
+    info!("cordons: {}: {error}; {consequence}", path.display());
 }
 
 /// Reads the set stored at `path`. A missing file is an empty set.
--- a/src/net/discovery/endpoints.rs
+++ b/src/net/discovery/endpoints.rs
@@ -8,8 +8,8 @@
 use serde::de::IgnoredAny;
 use serde::Deserialize;
 
+use crate::info;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// An endpoint list as discovery writes it: either the complete list or only the entries that changed.
 #[derive(Deserialize)]
@@ -116,7 +116,7 @@
         let unreadable = received - servers.len();
         if unreadable > 0 {
             COUNTERS.list_unreadable.add(unreadable as u64);
-            say!("list: version {}: {unreadable} entries cannot be read", list.version);
+            info!("list: version {}: {unreadable} entries cannot be read", list.version);
         }
         // An unreadable entry may describe any backend, so backends missing from the list must not be treated as gone.
         WireList { version: list.version, full: list.full && unreadable == 0, servers }.into()
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -28,12 +28,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout_at, Instant};
 
+use crate::info;
 use crate::net::config::addresses::Addresses;
 use crate::net::discovery::endpoints::EndpointsChange;
 use crate::net::discovery::list_decoder::{ListDecoder, ListError};
 use crate::net::discovery::pending_calls::PendingCalls;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// Time without data after which a watch is dead. Discovery sends an empty line every 2 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -133,7 +133,7 @@
         let (version, previous) = if next == discovery {
             (watch.version.load(Relaxed), PreviousWatch { _watch: watch, is_from_other_discovery: false })
         } else {
-            say!("list: discovery moves from {discovery} to {next}");
+            info!("list: discovery moves from {discovery} to {next}");
             discovery = next;
             (0, PreviousWatch { _watch: watch, is_from_other_discovery: true })
         };
@@ -161,7 +161,7 @@
         while !self.control.is_closed() {
             let (version, started_at) = (self.version.load(Relaxed), Instant::now());
             let Err(error) = self.watch_once(late_response.take()).await;
-            say!("list: watch from version {version} ended: {error}");
+            info!("list: watch from version {version} ended: {error}");
             if started_at.elapsed() >= HEALTHY_AFTER {
                 backoff = MIN_BACKOFF;
             }
--- a/src/net/listener/accept.rs
+++ b/src/net/listener/accept.rs
@@ -14,10 +14,10 @@
 use super::connections::Connections;
 use super::handler::routes;
 use super::Listener;
+use crate::info;
 use crate::net::runtime::metrics::COUNTERS;
 use crate::net::runtime::shutdown::Phase;
 use crate::net::runtime::socket_reuse;
-use crate::say;
 
 /// Interval between two checks for connections whose time is up.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
@@ -50,7 +50,7 @@
 /// the same time. Returns an error if the address can't be bound.
 fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
     let listener = socket_reuse::bind_listener(listen)?;
-    say!("front: listening on {}", listener.local_addr()?);
+    info!("front: listening on {}", listener.local_addr()?);
     Ok(listener)
 }
 
@@ -93,7 +93,7 @@
                     Ok((stream, _)) => self.start(stream, finished),
                     Err(e) => {
                         COUNTERS.downstream_accept_failed.increment();
-                        say!("front: accept: {e}");
+                        info!("front: accept: {e}");
                         sleep_until(Instant::now() + ACCEPT_BACKOFF).await;
                     }
                 },
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -10,11 +10,11 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 
+use crate::info;
 use crate::net::control::message::Message;
 use crate::net::runtime::metrics::COUNTERS;
 use crate::net::runtime::socket_errors;
 use crate::net::runtime::socket_reuse;
-use crate::say;
 
 /// A datagram to send.
 pub enum OutgoingDatagram {
@@ -106,7 +106,7 @@
         let (OutgoingDatagram::Broadcast(bytes) | OutgoingDatagram::To(_, bytes)) = datagram;
         // A longer datagram would make a run on the platform void.
         if bytes.len() > MAX_DATAGRAM_BYTES {
-            return say!(
+            return info!(
                 "peers: datagram of {} bytes is not sent: at most {MAX_DATAGRAM_BYTES} are allowed",
                 bytes.len()
             );
--- a/src/net/quota_counter/mod.rs
+++ b/src/net/quota_counter/mod.rs
@@ -18,10 +18,10 @@
     ConnectionEvent,
 };
 use self::pipeline::CallPipeline;
+use crate::info;
 use crate::net::config::addresses::Addresses;
 use crate::net::control::message::{CounterReply, Message};
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// Initial and maximum backoff after a failed connection. It doubles with each failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
@@ -67,7 +67,7 @@
         loop {
             let started_at = Instant::now();
             let Some(error) = self.connect_and_serve().await else { return };
-            say!("counter: {error}");
+            info!("counter: {error}");
             let was_up = started_at.elapsed() > MAX_BACKOFF;
             backoff = if was_up { INITIAL_BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
             if !self.fail_calls_until(Instant::now() + backoff).await {
--- a/src/net/runtime/handover.rs
+++ b/src/net/runtime/handover.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::{sleep, Instant};
 
-use crate::say;
+use crate::info;
 
 /// Interval between two checks whether the addresses are free.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -24,7 +24,7 @@
     if are_free() {
         return;
     }
-    say!("hand-over: waits for the previous process to exit");
+    info!("hand-over: waits for the previous process to exit");
     while !are_free() && Instant::now() < deadline {
         sleep(CHECK_INTERVAL).await;
     }
--- a/src/net/runtime/log.rs
+++ b/src/net/runtime/log.rs
@@ -83,7 +83,7 @@
 
 /// Writes a line to the log, unless the limit for the current second is reached.
 #[macro_export]
-macro_rules! say {
+macro_rules! info {
     ($($words:tt)*) => {
         if let Some(left_out) = $crate::net::runtime::log::acquire_line() {
             if left_out > 0 {
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -8,11 +8,11 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
+use crate::info;
 use crate::net::config;
 use crate::net::config::addresses::Addresses;
 use crate::net::runtime::log;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// How long connections are still accepted after SIGTERM. Clients take up to 400 ms to open one, and it may be on its
 /// way.
@@ -132,12 +132,12 @@
     match config::read_addresses(current) {
         Ok(read) => {
             COUNTERS.reloads.increment();
-            say!("reload: discovery {}, counter {:?}", read.discovery, read.counter);
+            info!("reload: discovery {}, counter {:?}", read.discovery, read.counter);
             addresses.send_replace(read);
         }
         Err(e) => {
             COUNTERS.reloads_refused.increment();
-            say!("reload refused, the current addresses stay: {e}");
+            info!("reload refused, the current addresses stay: {e}");
         }
     }
 }
--- a/src/net/runtime/socket_errors.rs
+++ b/src/net/runtime/socket_errors.rs
@@ -6,8 +6,8 @@
 
 use tokio::net::TcpStream;
 
+use crate::info;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// Whether the other side or the network caused an error, as can happen on any connection.
 fn is_remote(e: &Error) -> bool {
@@ -32,7 +32,7 @@
 pub fn record_failure(owner: impl Display, operation: &str, e: &Error) {
     if e.raw_os_error().is_some() && !is_remote(e) {
         COUNTERS.sockets_failed.increment();
-        say!("{owner}: {operation}: {e}");
+        info!("{owner}: {operation}: {e}");
     }
 }
 
@@ -49,7 +49,7 @@
 pub fn disable_nagle(stream: &TcpStream, owner: impl Display) {
     if let Err(e) = stream.set_nodelay(true) {
         COUNTERS.sockets_delayed.increment();
-        say!("{owner}: TCP_NODELAY can't be set, writes may be delayed: {e}");
+        info!("{owner}: TCP_NODELAY can't be set, writes may be delayed: {e}");
     }
 }
 
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -13,6 +13,7 @@
 use tokio::task::JoinError;
 use tokio::time::Instant;
 
+use crate::info;
 use crate::net::admin::stats::AdminStats;
 use crate::net::admin::{self, Admin};
 use crate::net::canary::{OutcomeRecorder, SecondOutcomes};
@@ -35,7 +36,6 @@
 use crate::net::runtime::handover;
 use crate::net::runtime::shutdown::{Phase, ShutdownDeadline, Signals};
 use crate::net::upstream::UpstreamShared;
-use crate::say;
 
 /// Capacity of the mailbox of the control actor.
 const MESSAGE_MAILBOX: usize = 4096;
@@ -329,11 +329,11 @@
     let path = capture.path(&config.name, started / 1_000_000);
     match CaptureRecorder::start(capture, &path, &header) {
         Ok((recorder, thread)) => {
-            say!("capture: to {}", path.display());
+            info!("capture: to {}", path.display());
             Some(Capture { recorder, thread })
         }
         Err(e) => {
-            say!("capture: {}: {e}; nothing is captured", path.display());
+            info!("capture: {}: {e}; nothing is captured", path.display());
             None
         }
     }
