--- a/src/net/canary.rs
+++ b/src/net/canary.rs
@@ -76,7 +76,7 @@
 }
 
 /// A change under canary analysis.
-struct WatchedChange {
+struct AnalyzedChange {
     version: Slot,
     digest: Digest,
     /// For each plan, whether the change affects it.
@@ -114,29 +114,29 @@
 }
 
 /// The canary analysis in this limiter.
-pub struct CanaryWatch {
+pub struct CanaryMonitor {
     settings: Settings,
     own: ReplicaId,
     replicas: ReplicaId,
     /// The outcomes counted here in the latest seconds.
     recent: VecDeque<SecondOutcomes>,
     /// The latest change that was watched.
-    change: Option<WatchedChange>,
+    change: Option<AnalyzedChange>,
     /// The second of the latest step.
     last_step_second: u64,
 }
 
-impl CanaryWatch {
+impl CanaryMonitor {
     /// Creates an analysis over all replicas. `settings` must have been checked.
-    pub fn new(settings: Settings, own: ReplicaId, replicas: ReplicaId) -> CanaryWatch {
-        CanaryWatch { settings, own, replicas, recent: VecDeque::new(), change: None, last_step_second: 0 }
+    pub fn new(settings: Settings, own: ReplicaId, replicas: ReplicaId) -> CanaryMonitor {
+        CanaryMonitor { settings, own, replicas, recent: VecDeque::new(), change: None, last_step_second: 0 }
     }
 
     /// Starts to watch a version that became active at `activated_at`. `touched` marks the plans that it affects.
     pub fn begin(&mut self, version: Slot, digest: Digest, activated_at: Micros, touched: Vec<bool>) {
         let spans = (self.settings.baseline_s, self.settings.analysis_s);
         let Ok(analysis) = CanaryAnalysis::new(self.settings.clone()) else { return };
-        let mut watched = WatchedChange {
+        let mut analyzed = AnalyzedChange {
             version,
             digest,
             touched,
@@ -149,22 +149,24 @@
             seconds_before: 0,
             seconds_after: 0,
         };
-        self.recent.iter().for_each(|t| watched.count(t));
-        self.change = Some(watched);
+        self.recent.iter().for_each(|outcomes| analyzed.add_outcomes(outcomes));
+        self.change = Some(analyzed);
     }
 
-    /// Records that `digest` became active. If it is another document, the change is no longer watched. `held` tells
+    /// Records that `digest` became active. If it is another document, the change is no longer watched. `is_held` tells
     /// that both documents have the same values.
-    pub fn on_version_active(&mut self, digest: Digest, held: bool) {
-        if let Some(watched) = self.change.as_mut().filter(|w| w.digest != digest && !w.is_replaced) {
-            (watched.is_replaced, watched.is_held) = (true, held);
+    pub fn on_version_active(&mut self, digest: Digest, is_held: bool) {
+        if let Some(analyzed) =
+            self.change.as_mut().filter(|change| change.digest != digest && !change.is_replaced)
+        {
+            (analyzed.is_replaced, analyzed.is_held) = (true, is_held);
         }
     }
 
     /// Records the outcomes counted here in one second of the replicas' clock.
     pub fn record_second(&mut self, outcomes: SecondOutcomes) {
-        if let Some(watched) = self.watched() {
-            watched.count(&outcomes);
+        if let Some(analyzed) = self.analyzed_change() {
+            analyzed.add_outcomes(&outcomes);
         }
         self.recent.push_back(outcomes);
         while self.recent.len() as u64 > u64::from(self.settings.baseline_s) + 2 {
@@ -177,12 +179,13 @@
     /// # Errors
     /// Returns an error if the datagram is damaged, or concerns a version that is not watched here.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), DatagramError> {
-        self.watched().map_or(Err(DatagramError::UnknownSender), |watched| watched.outcomes.receive(bytes))
+        self.analyzed_change()
+            .map_or(Err(DatagramError::UnknownSender), |analyzed| analyzed.outcomes.receive(bytes))
     }
 
     /// Returns the change that is watched now.
-    fn watched(&mut self) -> Option<&mut WatchedChange> {
-        self.change.as_mut().filter(|w| !w.is_replaced)
+    fn analyzed_change(&mut self) -> Option<&mut AnalyzedChange> {
+        self.change.as_mut().filter(|change| !change.is_replaced)
     }
 
     /// Evaluates the watched change, once a second.
@@ -192,50 +195,50 @@
             return CanaryStep::default();
         }
         self.last_step_second = second;
-        let Some(watched) = self.watched() else { return CanaryStep::default() };
-        if watched.verdict != Verdict::Stands {
-            if let Some(tree) = watched.outcomes.evaluated_tree() {
-                let (passed, before, after, limiters) = watched.outcomes.collected_outcomes(tree, second);
-                watched.verdict = watched.analysis.evaluate(passed, &before, &after);
-                watched.limiters = limiters;
-                (watched.seconds_before, watched.seconds_after) = (before.len(), after.len());
+        let Some(analyzed) = self.analyzed_change() else { return CanaryStep::default() };
+        if analyzed.verdict != Verdict::Stands {
+            if let Some(tree) = analyzed.outcomes.evaluated_tree() {
+                let (passed, before, after, limiters) = analyzed.outcomes.collected_outcomes(tree, second);
+                analyzed.verdict = analyzed.analysis.evaluate(passed, &before, &after);
+                analyzed.limiters = limiters;
+                (analyzed.seconds_before, analyzed.seconds_after) = (before.len(), after.len());
             }
         }
-        let rollback = match watched.verdict {
-            Verdict::Undo { drop, .. } => Some(Rollback { digest: watched.digest, drop }),
+        let rollback = match analyzed.verdict {
+            Verdict::Undo { drop, .. } => Some(Rollback { digest: analyzed.digest, drop }),
             Verdict::Goes | Verdict::Stands => None,
         };
-        CanaryStep { datagrams: watched.outcomes.step(second), rollback }
+        CanaryStep { datagrams: analyzed.outcomes.step(second), rollback }
     }
 
     /// Returns the latest watched change as shown to operators; null if there was none.
     pub fn status(&self) -> Value {
-        let Some(w) = &self.change else { return Value::Null };
-        let state = match w.verdict {
+        let Some(change) = &self.change else { return Value::Null };
+        let state = match change.verdict {
             Verdict::Stands => "stands",
-            _ if w.is_held => "held",
-            Verdict::Undo { .. } if w.is_replaced => "undone",
+            _ if change.is_held => "held",
+            Verdict::Undo { .. } if change.is_replaced => "undone",
             Verdict::Undo { .. } => "undo",
-            _ if w.is_replaced => "replaced",
+            _ if change.is_replaced => "replaced",
             Verdict::Goes => "watched",
         };
-        let (drop, after_s) = match w.verdict {
+        let (drop, after_s) = match change.verdict {
             Verdict::Undo { drop, at_s } => (Some(drop), Some(at_s)),
             _ => (None, None),
         };
         json!({
-            "version": w.version, "state": state, "judges": w.outcomes.evaluated_tree().is_some(), "drop": drop,
-            "after_s": after_s, "limiters": w.limiters, "seconds_before": w.seconds_before,
-            "seconds_after": w.seconds_after,
+            "version": change.version, "state": state, "judges": change.outcomes.evaluated_tree().is_some(), "drop": drop,
+            "after_s": after_s, "limiters": change.limiters, "seconds_before": change.seconds_before,
+            "seconds_after": change.seconds_after,
         })
     }
 }
 
-impl WatchedChange {
+impl AnalyzedChange {
     /// Adds the outcomes of one second. Before the change, requests under earlier versions count; after it, requests
     /// under the changed version or later ones. Requests accepted under one version that ended under the next are
     /// left out.
-    fn count(&mut self, outcomes: &SecondOutcomes) {
+    fn add_outcomes(&mut self, outcomes: &SecondOutcomes) {
         let Some(after) = self.outcomes.is_after_change(outcomes.second) else { return };
         let (mut touched, mut control) = (OutcomeCounts::default(), OutcomeCounts::default());
         let counted = outcomes.versions.iter().filter(|(version, _)| (**version >= self.version) == after);
--- a/src/net/canary/tests.rs
+++ b/src/net/canary/tests.rs
@@ -12,11 +12,11 @@
 }
 
 /// Returns the analysis of a tier of one limiter, which evaluates itself.
-fn watch_of_single_limiter() -> CanaryWatch {
-    CanaryWatch::new(Settings::default(), 0, 1)
+fn single_limiter_monitor() -> CanaryMonitor {
+    CanaryMonitor::new(Settings::default(), 0, 1)
 }
 
-fn run(canary: &mut CanaryWatch, seconds: std::ops::Range<u64>, version: Slot, share: (u32, u32)) -> u32 {
+fn run(canary: &mut CanaryMonitor, seconds: std::ops::Range<u64>, version: Slot, share: (u32, u32)) -> u32 {
     let mut rollbacks = 0;
     for second in seconds {
         canary.record_second(outcomes_of(second, version, &[(20, share.0), (40, share.1)]));
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn bad_change_is_rolled_back_and_replacement_is_not_watched() {
-    let (mut canary, bad) = (watch_of_single_limiter(), Digest([1; 16]));
+fn bad_change_is_rolled_back_and_replacement_is_not_analyzed() {
+    let (mut canary, bad) = (single_limiter_monitor(), Digest([1; 16]));
     assert_eq!(run(&mut canary, 80..100, 0, (20, 40)), 0);
     canary.begin(1, bad, 100_000_000, vec![true, false]);
     assert!(run(&mut canary, 100..112, 1, (4, 40)) > 0, "{}", canary.status());
@@ -39,7 +39,7 @@
 
 #[test]
 fn good_change_stands() {
-    let mut canary = watch_of_single_limiter();
+    let mut canary = single_limiter_monitor();
     run(&mut canary, 80..100, 0, (19, 38));
     canary.begin(1, Digest([1; 16]), 100_000_000, vec![true, false]);
     assert_eq!(run(&mut canary, 100..140, 1, (19, 38)), 0);
@@ -49,7 +49,7 @@
 #[test]
 fn held_change_is_shown_as_held_whatever_its_outcomes() {
     for seconds in [103, 112] {
-        let mut canary = watch_of_single_limiter();
+        let mut canary = single_limiter_monitor();
         run(&mut canary, 80..100, 0, (20, 40));
         canary.begin(1, Digest([1; 16]), 100_000_000, vec![true, false]);
         run(&mut canary, 100..seconds, 1, (4, 40));
@@ -61,7 +61,7 @@
 
 #[test]
 fn void_version_does_not_end_watch() {
-    let mut canary = watch_of_single_limiter();
+    let mut canary = single_limiter_monitor();
     run(&mut canary, 80..100, 0, (20, 40));
     canary.begin(1, Digest([1; 16]), 100_000_000, vec![true, false]);
     run(&mut canary, 100..103, 1, (4, 40));
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -21,7 +21,7 @@
 use super::operator_calls::{OperatorRequest, Proposal, ProposalOutcome};
 use super::store::{History, HistoryEntry, StateStore, StoredState};
 use crate::info;
-use crate::net::canary::{CanaryStep, CanaryWatch, Rollback, SecondOutcomes};
+use crate::net::canary::{CanaryMonitor, CanaryStep, Rollback, SecondOutcomes};
 use crate::net::config::settings::TierSettings;
 use crate::net::control::message::{ActiveVersions, ControlCommand, ScheduledConfigVersion};
 use crate::net::peers::OutgoingDatagram;
@@ -86,7 +86,7 @@
     pub(super) proposal: Option<Proposal>,
     pub(super) store: StateStore,
     pub(super) intake: DatagramIntake,
-    pub(super) canary: Option<CanaryWatch>,
+    pub(super) canary: Option<CanaryMonitor>,
     last_report: Option<Report>,
     clock: Clock,
     peers: mpsc::Sender<OutgoingDatagram>,
@@ -107,7 +107,7 @@
         let replica = Replica::new(replica_settings, parts.seed, snapshot, replicas == 1)?;
         let (history, previous) =
             parts.stored.map_or((History::default(), None), |state| (state.history, state.previous));
-        let canary = settings.canary.clone().map(|canary| CanaryWatch::new(canary, own, replicas));
+        let canary = settings.canary.clone().map(|canary| CanaryMonitor::new(canary, own, replicas));
         let mut actor = ConsensusActor {
             served_version: replica.active_version().0,
             replica,
@@ -284,7 +284,7 @@
     /// Serves under another document from now on.
     fn serve(&mut self, slot: Slot, document: Document) {
         let has_same_values = self.served_document.has_same_values(&document);
-        self.watch_change(slot, &document, has_same_values);
+        self.analyze_change(slot, &document, has_same_values);
         let previous = std::mem::replace(&mut self.served_document, document);
         // A hold or a pin has the same values, so it is not a change that an undo could revert.
         if !has_same_values {
@@ -293,7 +293,7 @@
     }
 
     /// Reports a newly active document to the canary analysis, and starts to watch it if the document asks for that.
-    fn watch_change(&mut self, slot: Slot, document: &Document, has_same_values: bool) {
+    fn analyze_change(&mut self, slot: Slot, document: &Document, has_same_values: bool) {
         let Some(canary) = &mut self.canary else { return };
         let digest = document.digest();
         canary.on_version_active(digest, has_same_values);
--- a/src/net/consensus/status.rs
+++ b/src/net/consensus/status.rs
@@ -5,7 +5,7 @@
 
 use super::actor::ConsensusActor;
 use super::operator_calls::Proposal;
-use crate::net::canary::CanaryWatch;
+use crate::net::canary::CanaryMonitor;
 
 impl ConsensusActor {
     /// Returns this limiter's view of the versions as JSON.
@@ -28,7 +28,7 @@
             "history": self.history, "stored": self.store.is_persistent(),
             "busiest_second": self.intake.busiest_second(),
             "text": self.served_document.text, "pinned": self.served_document.provenance.pinned,
-            "watch": self.canary.as_ref().map_or(Value::Null, CanaryWatch::status),
+            "watch": self.canary.as_ref().map_or(Value::Null, CanaryMonitor::status),
         })
     }
 }
