--- a/crates/consensus/src/proposals.rs
+++ b/crates/consensus/src/proposals.rs
@@ -14,7 +14,7 @@
 /// Number of turns, one per round, in which replicas may take over an open vote. Larger groups share turns.
 const TAKEOVER_TURNS: u64 = 8;
 /// Maximum factor by which a proposer increases the number of replicas that it asks per round when answers are lost.
-const MAX_REQUEST_FACTOR: u64 = 4;
+const MAX_REQUESTS_MULTIPLE: u64 = 4;
 
 /// A change proposed at this replica whose slot is not decided yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -44,7 +44,7 @@
     /// The proposer of this replica's current ballot.
     proposer: Option<Proposer>,
     /// The replica that the proposer asks next.
-    next_asked: ReplicaId,
+    next_recipient: ReplicaId,
     /// The highest round of any ballot seen. A new ballot uses the next higher one.
     highest_round: u32,
     local: Option<LocalProposal>,
@@ -54,7 +54,7 @@
 impl Proposals {
     /// Returns a state without proposals; ballots up to `highest_round` were seen before a restart.
     pub(crate) fn new(highest_round: u32) -> Proposals {
-        Proposals { proposer: None, next_asked: 0, highest_round, local: None, open_vote: None }
+        Proposals { proposer: None, next_recipient: 0, highest_round, local: None, open_vote: None }
     }
 
     /// Returns the highest round of any ballot seen, for the snapshot.
@@ -140,13 +140,13 @@
         let Some(proposer) = &self.proposer else { return Vec::new() };
         let mut asked = Vec::new();
         for step in 0..replicas {
-            let replica = (self.next_asked + step) % replicas;
+            let replica = (self.next_recipient + step) % replicas;
             if replica == own || !proposer.awaits(replica) {
                 continue;
             }
             asked.push(replica);
             if asked.len() as u64 >= count {
-                self.next_asked = (replica + 1) % replicas;
+                self.next_recipient = (replica + 1) % replicas;
                 break;
             }
         }
@@ -332,7 +332,7 @@
         // The answers to the requests of the last round are still on their way.
         let expected = (rounds * per_round).saturating_sub(per_round).max(1);
         let received = proposer.answers(self.settings.quorum()).max(1) as u64;
-        (per_round * expected / received).clamp(per_round, MAX_REQUEST_FACTOR * per_round)
+        (per_round * expected / received).clamp(per_round, MAX_REQUESTS_MULTIPLE * per_round)
     }
 
     /// Handles a promise, which reports the value that its sender has accepted.
--- a/crates/kit/src/tier/change.rs
+++ b/crates/kit/src/tier/change.rs
@@ -13,10 +13,10 @@
 
 /// Interval between requests for the state of a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest wait for a change's outcome, in leads; `EXTRA_WAIT` is added. A vote takes the lead and some rounds.
-const LEADS_WAITED: u32 = 3;
+/// The longest wait for a change's outcome, in leads; `OUTCOME_TIMEOUT_MARGIN` is added. A vote takes the lead and some rounds.
+const OUTCOME_TIMEOUT_LEADS: u32 = 3;
 /// Added to the longest wait for a change's outcome, to cover the vote's rounds.
-const EXTRA_WAIT: Duration = Duration::from_secs(30);
+const OUTCOME_TIMEOUT_MARGIN: Duration = Duration::from_secs(30);
 
 /// Which limiters must vote for a change.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
@@ -127,7 +127,8 @@
 
     /// Waits until the change is active or void, and prints the outcome. After a timeout, prints that it is still open.
     fn wait(&self) -> Result<Verdict, KitError> {
-        let deadline = Instant::now() + LEADS_WAITED * self.lead() + EXTRA_WAIT;
+        let deadline =
+            Instant::now() + OUTCOME_TIMEOUT_LEADS * self.time_to_activation() + OUTCOME_TIMEOUT_MARGIN;
         while Instant::now() < deadline {
             let state = client::get(self.address, client::RULES)?;
             if let Some(verdict) = self.check(&state) {
@@ -139,7 +140,7 @@
     }
 
     /// Returns the time until the change is due to become active.
-    fn lead(&self) -> Duration {
+    fn time_to_activation(&self) -> Duration {
         let active_at_us = self.answer["at_us"].as_u64().unwrap_or(0);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Duration::from_micros(active_at_us.saturating_sub(now.as_micros() as u64))
@@ -147,17 +148,17 @@
 
     /// Prints the change's outcome if the limiter's state shows it; returns `None` otherwise.
     fn check(&self, state: &Value) -> Option<Verdict> {
-        let own = &state["begun_here"];
+        let begun = &state["begun_here"];
         let none = json!([]);
-        if own["version"] != self.answer["version"] {
+        if begun["version"] != self.answer["version"] {
             let outcome = "another change was begun there since: see config history";
             return Some(self.finish(Verdict::No, outcome, &none));
         }
         let is_active = state["version"].as_u64() >= self.answer["version"].as_u64();
-        match own["outcome"].as_str() {
+        match begun["outcome"].as_str() {
             Some("made") if is_active => Some(self.finish(Verdict::Done, "made, in force", &none)),
             Some("void") => {
-                let missing = &own["unanswered"];
+                let missing = &begun["unanswered"];
                 Some(self.finish(Verdict::No, &void_reason(missing), missing))
             }
             _ => None,
--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -15,7 +15,7 @@
 use super::retries::RetryBudget;
 use super::settings_check::check;
 use super::timers::{TimerKind, Timers};
-use super::versions::VersionSlots;
+use super::versions::IndexAllocation;
 use crate::interface::{
     Action, Class, CounterName, CustomerId, Discovery, Event, Micros, RequestId, Settings, SettingsError,
 };
@@ -64,7 +64,7 @@
     /// Moving average of the share of quota prechecks (see [`Limiter::precheck_at`]) that found no quota
     /// left.
     pub(super) precheck_rejection_share: f64,
-    pub(super) versions: VersionSlots,
+    pub(super) allocation: IndexAllocation,
 }
 
 impl Limiter {
--- a/src/decision/release_gate.rs
+++ b/src/decision/release_gate.rs
@@ -9,14 +9,14 @@
 /// Pacing allowance, in attempts, that a tier leaves for each tier of higher priority weight.
 pub(super) const TIER_RESERVE: f64 = 0.5;
 /// Number of consecutive customers without a backend that ends a tier's turn.
-const MAX_BLOCKED: usize = 3;
+const MAX_CONSECUTIVE_BLOCKED: usize = 3;
 /// Ticks between two releases while requests are queued.
-const RELEASE_TICKS: u64 = 4;
+const RELEASE_INTERVAL_TICKS: u64 = 4;
 /// Minimum length of a tick here.
 const MIN_TICK: Micros = 1000;
 
 /// Result of a customer's turn.
-enum Turn {
+enum TurnResult {
     /// The customer has nothing to send now and has left the rotation.
     LeftRotation,
     /// No backend can take the customer's request, or pacing holds it back.
@@ -39,7 +39,7 @@
             any_blocked |= self.release_tier(tier, &mut allowance);
         }
         if any_blocked {
-            let step = RELEASE_TICKS * self.settings.tick.max(MIN_TICK);
+            let step = RELEASE_INTERVAL_TICKS * self.settings.tick.max(MIN_TICK);
             self.timers.schedule((self.now / step + 1) * step, TimerKind::Release);
         }
     }
@@ -48,15 +48,15 @@
     fn release_tier(&mut self, tier: usize, allowance: &mut f64) -> bool {
         let mut any_blocked = false;
         let mut blocked = 0;
-        while blocked < self.rotations.len(tier) && blocked < MAX_BLOCKED {
+        while blocked < self.rotations.len(tier) && blocked < MAX_CONSECUTIVE_BLOCKED {
             let Some(customer) = self.rotations.pop_front(tier) else { break };
             match self.take_turn(customer, tier, allowance) {
-                Turn::LeftRotation => continue,
-                Turn::Blocked => {
+                TurnResult::LeftRotation => continue,
+                TurnResult::Blocked => {
                     blocked += 1;
                     any_blocked = true;
                 }
-                Turn::Sent => blocked = 0,
+                TurnResult::Sent => blocked = 0,
             }
             self.rotations.push_back(tier, customer);
         }
@@ -65,11 +65,11 @@
 
     /// Sends a customer's next request of a tier if the ceiling, the pacing, the backends, the quota and the
     /// concurrency limit allow it, checked in this order.
-    fn take_turn(&mut self, customer: CustomerId, tier: usize, allowance: &mut f64) -> Turn {
-        let Some(c) = self.customers.get_mut(&customer) else { return Turn::LeftRotation };
+    fn take_turn(&mut self, customer: CustomerId, tier: usize, allowance: &mut f64) -> TurnResult {
+        let Some(c) = self.customers.get_mut(&customer) else { return TurnResult::LeftRotation };
         let Some(&id) = c.queues[tier].requests.front() else {
             c.queues[tier].in_rotation = false;
-            return Turn::LeftRotation;
+            return TurnResult::LeftRotation;
         };
         c.ceiling.refill(self.now);
         let request = &self.requests[&id];
@@ -80,11 +80,11 @@
         let has_backend = backend.is_some();
         if exceeds_ceiling || (has_backend && !(self.acquire_quota(id) && self.acquire_permit(customer))) {
             self.leave_rotation(customer, tier, id, exceeds_ceiling);
-            return Turn::LeftRotation;
+            return TurnResult::LeftRotation;
         }
-        let Some(backend) = backend else { return Turn::Blocked };
+        let Some(backend) = backend else { return TurnResult::Blocked };
         *allowance -= self.start_attempt(id, backend);
-        Turn::Sent
+        TurnResult::Sent
     }
 
     /// Takes a customer out of a tier's rotation until the counter answers or one of its attempts ends. The
--- a/src/decision/versions.rs
+++ b/src/decision/versions.rs
@@ -16,7 +16,7 @@
 /// Tracks which classes and plans belong to the initial settings, and which other indices are free for the
 /// next version.
 #[derive(Default)]
-pub(super) struct VersionSlots {
+pub(super) struct IndexAllocation {
     /// `None` until a version is adopted: all classes and plans then belong to the initial settings.
     configured: Option<ConfiguredCounts>,
     /// Indices after the configured ones that no version, request or customer refers to.
@@ -25,15 +25,15 @@
 }
 
 /// Stores a value at an existing index, or appends it if `index` is the next one.
-fn set_or_push<T>(all: &mut Vec<T>, index: usize, value: T) {
-    match all.get_mut(index) {
+fn set_or_push<T>(entries: &mut Vec<T>, index: usize, value: T) {
+    match entries.get_mut(index) {
         Some(old) => *old = value,
-        None => all.push(value),
+        None => entries.push(value),
     }
 }
 
 /// Returns the indices from `configured` to `total` that are not in `held`.
-fn unheld(configured: usize, total: usize, held: impl Iterator<Item = usize>) -> BTreeSet<usize> {
+fn unheld_indices(configured: usize, total: usize, held: impl Iterator<Item = usize>) -> BTreeSet<usize> {
     let mut unheld: BTreeSet<usize> = (configured..total).collect();
     for index in held {
         unheld.remove(&index);
@@ -66,7 +66,7 @@
         plans: &[Plan],
     ) -> Result<VersionIndices, SettingsError> {
         self.check_version(classes, plans)?;
-        self.versions.configured.get_or_insert(ConfiguredCounts {
+        self.allocation.configured.get_or_insert(ConfiguredCounts {
             classes: self.settings.classes.len(),
             plans: self.settings.plans.len(),
         });
@@ -75,10 +75,10 @@
             plans: plans.iter().map(|plan| self.adopt_plan(plan)).collect(),
         };
         for index in &indices.classes {
-            self.versions.spare_classes.remove(index);
+            self.allocation.spare_classes.remove(index);
         }
         for index in &indices.plans {
-            self.versions.spare_plans.remove(index);
+            self.allocation.spare_plans.remove(index);
         }
         Ok(indices)
     }
@@ -117,7 +117,7 @@
         }
         let newest = known.iter().rposition(|known| known.name == class.name).unwrap_or(0);
         let (tier, latency) = (self.tier_of[newest], self.latencies.classes[newest]);
-        let index = self.versions.spare_classes.pop_first().unwrap_or(known.len());
+        let index = self.allocation.spare_classes.pop_first().unwrap_or(known.len());
         set_or_push(&mut self.settings.classes, index, class.clone());
         set_or_push(&mut self.tier_of, index, tier);
         set_or_push(&mut self.latencies.classes, index, latency);
@@ -130,7 +130,7 @@
         if let Some(same) = known.iter().position(|known| known == plan) {
             return same;
         }
-        let index = self.versions.spare_plans.pop_first().unwrap_or(known.len());
+        let index = self.allocation.spare_plans.pop_first().unwrap_or(known.len());
         set_or_push(&mut self.settings.plans, index, plan.clone());
         index
     }
@@ -138,11 +138,11 @@
     /// Frees the classes and plans of all versions except those in `held`, unless a request, attempt or
     /// customer still refers to them. Returns whether all of them could be freed.
     pub fn retire_versions(&mut self, held: &[&VersionIndices]) -> bool {
-        let Some(configured) = self.versions.configured else { return true };
+        let Some(configured) = self.allocation.configured else { return true };
         let held_classes = held.iter().flat_map(|version| version.classes.iter().copied());
         let held_plans = held.iter().flat_map(|version| version.plans.iter().copied());
-        let mut classes = unheld(configured.classes, self.settings.classes.len(), held_classes);
-        let mut plans = unheld(configured.plans, self.settings.plans.len(), held_plans);
+        let mut classes = unheld_indices(configured.classes, self.settings.classes.len(), held_classes);
+        let mut plans = unheld_indices(configured.plans, self.settings.plans.len(), held_plans);
         if classes.is_empty() && plans.is_empty() {
             return true;
         }
@@ -157,7 +157,7 @@
             plans.remove(&customer.plan);
         }
         let all_unused = unheld_count == classes.len() + plans.len();
-        (self.versions.spare_classes, self.versions.spare_plans) = (classes, plans);
+        (self.allocation.spare_classes, self.allocation.spare_plans) = (classes, plans);
         self.remove_trailing_spares();
         all_unused
     }
@@ -166,18 +166,18 @@
     /// spare class must not influence which latency counts as slow, so its latency objective is set to the
     /// maximum.
     fn remove_trailing_spares(&mut self) {
-        let (settings, versions) = (&mut self.settings, &mut self.versions);
-        while is_last_spare(&versions.spare_classes, settings.classes.len()) {
-            versions.spare_classes.pop_last();
+        let (settings, allocation) = (&mut self.settings, &mut self.allocation);
+        while is_last_spare(&allocation.spare_classes, settings.classes.len()) {
+            allocation.spare_classes.pop_last();
             settings.classes.pop();
             self.tier_of.pop();
             self.latencies.classes.pop();
         }
-        while is_last_spare(&versions.spare_plans, settings.plans.len()) {
-            versions.spare_plans.pop_last();
+        while is_last_spare(&allocation.spare_plans, settings.plans.len()) {
+            allocation.spare_plans.pop_last();
             settings.plans.pop();
         }
-        for index in &versions.spare_classes {
+        for index in &allocation.spare_classes {
             settings.classes[*index].latency_objective = Micros::MAX;
         }
     }
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -148,7 +148,7 @@
 /// # Errors
 /// The same as for [`read`].
 pub fn read_addresses(now: Addresses) -> Result<Addresses, ConfigError> {
-    Ok(now.updated_by(read()?.addresses))
+    Ok(now.after_reload(read()?.addresses))
 }
 
 fn decode_file(path: &Path) -> Result<Config, InvalidConfig> {
@@ -176,7 +176,7 @@
         listen,
         admin_listen,
         cordon_file: admin_listen.map(|_| cordons::path(&temporary, listen)),
-        addresses: Addresses { discovery, counter: file.counter, in_file: file.discovery },
+        addresses: Addresses { discovery, counter: file.counter, discovery_in_file: file.discovery },
         peer_listen: file.peer_listen,
         peers: file.peers,
         peer_broadcast: file.peers_all,
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -192,7 +192,7 @@
 
 fn discovery_at(port: u16) -> Addresses {
     let discovery = SocketAddr::from(([127, 0, 0, 1], port));
-    Addresses { discovery, counter: None, in_file: None }
+    Addresses { discovery, counter: None, discovery_in_file: None }
 }
 
 impl TestDiscovery {
