--- a/src/net/admin/cordon.rs
+++ b/src/net/admin/cordon.rs
@@ -35,11 +35,11 @@
         Err(reason) => return error(StatusCode::BAD_REQUEST, reason),
     };
     let _guard = admin.cordon_lock.lock().await;
-    let (reply, answer) = oneshot::channel();
+    let (reply, reply_receiver) = oneshot::channel();
     if admin.control.try_send(ControlCommand::Cordon { name: name.clone(), cordoned, reply }).is_err() {
         return error(StatusCode::SERVICE_UNAVAILABLE, "the control actor is busy; call again");
     }
-    let names = match answer.await {
+    let names = match reply_receiver.await {
         Ok(Some(names)) => names,
         Ok(None) => return error(StatusCode::NOT_FOUND, &format!("no backend {name} is known")),
         Err(_) => return error(StatusCode::SERVICE_UNAVAILABLE, "the control actor has stopped"),
--- a/src/net/admin/rules.rs
+++ b/src/net/admin/rules.rs
@@ -20,11 +20,11 @@
     let Some(consensus) = &admin.consensus else {
         return error(StatusCode::NOT_FOUND, "no tier: the settings have no tier block");
     };
-    let (reply, answer) = oneshot::channel();
+    let (reply, reply_receiver) = oneshot::channel();
     if consensus.try_send((call, reply)).is_err() {
         return error(StatusCode::SERVICE_UNAVAILABLE, "the tier is busy; call again");
     }
-    match answer.await {
+    match reply_receiver.await {
         Ok(Ok(value)) => ok(format!("{value}\n")),
         Ok(Err(failure)) => {
             error(StatusCode::from_u16(failure.status).unwrap_or(StatusCode::CONFLICT), &failure.message)
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -147,9 +147,9 @@
             tokio::select! {
                 Some(bytes) = datagrams.recv() => self.on_datagram(&bytes),
                 Some((call, reply)) = calls.recv() => {
-                    let answer = self.on_operator_call(call);
+                    let result = self.on_operator_call(call);
                     self.advance();
-                    let _ = reply.send(answer);
+                    let _ = reply.send(result);
                 }
                 Some(second) = outcomes.recv() => self.on_second_outcomes(second),
                 _ = ticks.tick() => {}
--- a/src/net/consensus/operator_calls.rs
+++ b/src/net/consensus/operator_calls.rs
@@ -45,7 +45,7 @@
 }
 
 /// Answer to a call.
-pub type Answer = Result<Value, CallError>;
+pub type CallResult = Result<Value, CallError>;
 
 /// Calls of operators.
 pub enum OperatorCall {
@@ -78,7 +78,7 @@
 }
 
 /// A call and the channel for its answer.
-pub type OperatorRequest = (OperatorCall, oneshot::Sender<Answer>);
+pub type OperatorRequest = (OperatorCall, oneshot::Sender<CallResult>);
 
 /// Outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -103,7 +103,7 @@
 }
 
 impl ConsensusActor {
-    pub(super) fn on_operator_call(&mut self, call: OperatorCall) -> Answer {
+    pub(super) fn on_operator_call(&mut self, call: OperatorCall) -> CallResult {
         match call {
             OperatorCall::Status => Ok(self.status()),
             OperatorCall::Stage { text } => self.stage(&text),
@@ -130,7 +130,7 @@
         Err(CallError::conflict(format!("version {version} is pinned: unpin it first, or force the change")))
     }
 
-    fn stage(&mut self, text: &str) -> Answer {
+    fn stage(&mut self, text: &str) -> CallResult {
         if text.len() > MAX_DOCUMENT_BYTES {
             return Err(CallError::too_large(format!(
                 "the document has {} bytes; at most {MAX_DOCUMENT_BYTES} are allowed",
@@ -162,7 +162,7 @@
         )))
     }
 
-    fn commit(&mut self, digest: &str, require_all: bool, except: &BTreeSet<ReplicaId>) -> Answer {
+    fn commit(&mut self, digest: &str, require_all: bool, except: &BTreeSet<ReplicaId>) -> CallResult {
         let document = self.staged_document(digest)?;
         let others = (0..self.replicas).filter(|replica| *replica != self.own);
         let required = others.filter(|replica| require_all && !except.contains(replica)).collect();
@@ -187,27 +187,27 @@
 
     /// Proposes a version with the same values that is not watched. It is decided like any other version, so it ends
     /// the canary analysis of the active one at all limiters or at none.
-    fn hold(&mut self, pinned: bool) -> Answer {
+    fn hold(&mut self, pinned: bool) -> CallResult {
         let (version, _) = self.replica.active_version();
         let text = self.served_document.text_of_held_version(version, pinned);
         let document = Document::parse("held", &text).map_err(CallError::conflict)?;
         self.propose(document, BTreeSet::new())
     }
 
-    fn unpin(&mut self) -> Answer {
+    fn unpin(&mut self) -> CallResult {
         if !self.served_document.provenance.pinned {
             return Err(CallError::conflict("the active version is not pinned"));
         }
         self.hold(false)
     }
 
-    fn undo(&mut self) -> Answer {
+    fn undo(&mut self) -> CallResult {
         let no_previous = || CallError::conflict("there is no version before the active one");
         let previous = self.previous.clone().ok_or_else(no_previous)?;
         self.propose(previous, BTreeSet::new())
     }
 
-    fn adopt(&mut self) -> Answer {
+    fn adopt(&mut self) -> CallResult {
         if !self.replica.awaits_adoption() {
             return Err(CallError::conflict(
                 "no adoption is needed: this limiter knows its votes, or has heard a majority",
@@ -219,7 +219,7 @@
     }
 
     /// Proposes a document as the next version. The proposal is given up if a replica of `required` does not answer.
-    pub(super) fn propose(&mut self, document: Document, required: BTreeSet<ReplicaId>) -> Answer {
+    pub(super) fn propose(&mut self, document: Document, required: BTreeSet<ReplicaId>) -> CallResult {
         let (now, (parent, _)) = (self.now(), self.replica.active_version());
         let digest = document.digest();
         let proposed = self.replica.propose_requiring(now, document.text.into_bytes(), parent, required);
--- a/src/net/control/actor.rs
+++ b/src/net/control/actor.rs
@@ -24,8 +24,8 @@
 use crate::net::control::capture_records::{CaptureRecords, CapturedAnswer, CapturedRequest};
 use crate::net::control::endpoint_table::EndpointTable;
 use crate::net::control::message::{
-    AcceptedRequest, ActiveVersions, Answer, AttemptOutcome, ConfigVersion, ControlCommand, CounterReply,
-    Message, Reply,
+    AcceptedRequest, ActiveVersions, AttemptOutcome, ConfigVersion, ControlCommand, CounterReply, Message,
+    Reply, VersionedReply,
 };
 use crate::net::control::request_table::{AttemptOrder, OpenRequest, RequestTable, RequestVersion};
 use crate::net::control::timers::TimerQueue;
@@ -423,8 +423,8 @@
                 self.start_attempt(AttemptOrder { request, started_at, deadline, write_deadline }, &backend);
             }
             Action::CancelAttempt { request, attempt } => self.requests.cancel_attempt(request, attempt),
-            Action::Reject { request, retry_after } => self.answer(request, Reply::Rejected { retry_after }),
-            Action::Fail { request } => self.answer(request, Reply::Failed),
+            Action::Reject { request, retry_after } => self.reply(request, Reply::Rejected { retry_after }),
+            Action::Fail { request } => self.reply(request, Reply::Failed),
             Action::CallCounter { name, amount, time_to_live } => {
                 self.call_counter(now, name, amount, time_to_live);
             }
@@ -467,7 +467,7 @@
     }
 
     /// Sends the final reply to a request that was rejected or has failed.
-    fn answer(&mut self, id: RequestId, reply: Reply) {
+    fn reply(&mut self, id: RequestId, reply: Reply) {
         let Some(version) = self.requests.get(id).map(|open| open.version) else { return };
         if let Some(client) = self.requests.take_reply(id) {
             let (counter, outcome) = match reply {
@@ -522,7 +522,7 @@
     }
 }
 
-fn reject_without_version(reply: oneshot::Sender<Answer>) {
+fn reject_without_version(reply: oneshot::Sender<VersionedReply>) {
     COUNTERS.rules_unknown.increment();
     COUNTERS.rejections.increment();
     let _ = reply.send((Reply::Rejected { retry_after: UNKNOWN_VERSION_RETRY_AFTER }, None));
--- a/src/net/control/message.rs
+++ b/src/net/control/message.rs
@@ -105,11 +105,11 @@
     pub forward: Arc<ForwardedRequest>,
     pub origin: Arrival,
     pub deadline: Instant,
-    pub reply: oneshot::Sender<Answer>,
+    pub reply: oneshot::Sender<VersionedReply>,
 }
 
 /// A reply, and the version of the runtime configuration under which the request was accepted, if versions are in use.
-pub type Answer = (Reply, Option<u64>);
+pub type VersionedReply = (Reply, Option<u64>);
 
 /// A version of the runtime configuration. Its classes and plans are in the order of the configuration file.
 #[derive(Clone, Debug)]
--- a/src/net/control/request_table.rs
+++ b/src/net/control/request_table.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::net::control::capture_records::CapturedRequest;
-use crate::net::control::message::{Answer, AttemptOutcome, ForwardedRequest};
+use crate::net::control::message::{AttemptOutcome, ForwardedRequest, VersionedReply};
 use crate::net::upstream::{Attempt, BackendCommand, BackendHandle};
 
 /// A request that has not been answered, or has an attempt in flight.
@@ -17,7 +17,7 @@
     forward: Arc<ForwardedRequest>,
     deadline: Instant,
     /// Taken when the final reply is sent or the client disconnects.
-    reply: Option<oneshot::Sender<Answer>>,
+    reply: Option<oneshot::Sender<VersionedReply>>,
     /// The version of the runtime configuration under which the request was accepted.
     pub version: Option<RequestVersion>,
     /// The actor that received each attempt, by attempt number. An actor that has been replaced since still runs the
@@ -45,7 +45,7 @@
     pub fn new(
         forward: Arc<ForwardedRequest>,
         deadline: Instant,
-        reply: oneshot::Sender<Answer>,
+        reply: oneshot::Sender<VersionedReply>,
         version: Option<RequestVersion>,
         capture_details: Option<Box<CapturedRequest>>,
     ) -> OpenRequest {
@@ -121,7 +121,7 @@
     }
 
     /// Takes the sender of a request's final reply. Only the first caller receives it.
-    pub fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
+    pub fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<VersionedReply>> {
         self.requests.get_mut(&id)?.reply.take()
     }
 
--- a/src/net/listener/client_watch.rs
+++ b/src/net/listener/client_watch.rs
@@ -8,22 +8,22 @@
 
 /// Reports when dropped that the client disconnected, unless the request was answered: when a client disconnects, the
 /// handler of its request is dropped, and this value with it.
-pub(super) struct ClientWatch {
+pub(super) struct DisconnectGuard {
     id: RequestId,
     control: mpsc::Sender<Message>,
     client_gone: CancellationToken,
     is_answered: bool,
 }
 
-impl ClientWatch {
+impl DisconnectGuard {
     /// Watches the client of request `id`. If the client disconnects, `client_gone` is cancelled and `control` is
     /// notified.
     pub(super) fn new(
         id: RequestId,
         control: mpsc::Sender<Message>,
         client_gone: CancellationToken,
-    ) -> ClientWatch {
-        ClientWatch { id, control, client_gone, is_answered: false }
+    ) -> DisconnectGuard {
+        DisconnectGuard { id, control, client_gone, is_answered: false }
     }
 
     /// Records that the request has its answer: dropping this value then reports nothing.
@@ -32,7 +32,7 @@
     }
 }
 
-impl Drop for ClientWatch {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if self.is_answered {
             return;
--- a/src/net/listener/connection.rs
+++ b/src/net/listener/connection.rs
@@ -88,13 +88,13 @@
     let routes = TowerToHyperService::new(routes);
     service_fn(move |mut request: hyper::Request<Incoming>| {
         request.extensions_mut().insert(client.clone());
-        let answer = routes.call(request);
+        let response = routes.call(request);
         async {
-            let answer = answer.await;
-            client.entry.set_stage(Stage::Answering);
-            let is_error = answer.as_ref().is_ok_and(|a| a.status().is_client_error());
+            let response = response.await;
+            client.entry.set_stage(Stage::Responding);
+            let is_error = response.as_ref().is_ok_and(|response| response.status().is_client_error());
             was_refused.store(is_error, Relaxed);
-            answer
+            response
         }
     })
 }
--- a/src/net/listener/connection_table.rs
+++ b/src/net/listener/connection_table.rs
@@ -15,7 +15,7 @@
 /// invalid data, or nothing, is disconnected within 3 s of connecting.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Time within which a client must read its answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long an idle connection stays open between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long an idle connection stays open when more than half of the capacity is used: the shortest time that the
@@ -51,7 +51,7 @@
     /// No answer is outstanding; the next request may arrive.
     Idle,
     /// The answer is being written.
-    Answering,
+    Responding,
     /// The request was passed to the control actor and is not answered yet.
     InFlight,
 }
@@ -68,7 +68,7 @@
         let (timeout, counter) = match self {
             Stage::Unfinished => (REQUEST_TIMEOUT, &COUNTERS.downstream_closed_unfinished),
             Stage::Idle => (IDLE_TIMEOUT, &COUNTERS.downstream_closed_idle),
-            Stage::Answering => (ANSWER_TIMEOUT, &COUNTERS.downstream_closed_unread),
+            Stage::Responding => (RESPONSE_READ_TIMEOUT, &COUNTERS.downstream_closed_unread),
             Stage::InFlight => return None,
         };
         Some(StageLimit { timeout, counter })
@@ -76,7 +76,7 @@
 }
 
 /// The stages that are limited in time.
-const TIMED_STAGES: [Stage; 3] = [Stage::Unfinished, Stage::Idle, Stage::Answering];
+const TIMED_STAGES: [Stage; 3] = [Stage::Unfinished, Stage::Idle, Stage::Responding];
 /// Index of `Stage::Unfinished` in `TIMED_STAGES`.
 const UNFINISHED: usize = 0;
 /// Index of `Stage::Idle` in `TIMED_STAGES`.
@@ -103,7 +103,7 @@
     /// Whether the connection is being closed.
     is_closing: bool,
     /// Whether the client has received an answer on the connection.
-    pub(super) has_answered: bool,
+    pub(super) has_responded: bool,
 }
 
 /// A connection that has exceeded the time limit of its stage.
@@ -133,7 +133,7 @@
             since: now,
             task: None,
             is_closing: false,
-            has_answered: false,
+            has_responded: false,
         };
         self.open.insert(self.last_id, entry);
         self.by_stage[UNFINISHED].insert((now, self.last_id));
@@ -152,7 +152,7 @@
     pub(super) fn set_stage(&mut self, id: u64, stage: Stage, now: Instant) {
         self.stop_timing(id);
         let Some(entry) = self.open.get_mut(&id).filter(|e| !e.is_closing) else { return };
-        entry.has_answered |= stage == Stage::Answering;
+        entry.has_responded |= stage == Stage::Responding;
         (entry.stage, entry.since) = (stage, now);
         if let Some(index) = TIMED_STAGES.iter().position(|s| *s == stage) {
             self.by_stage[index].insert((now, id));
--- a/src/net/listener/connection_table/tests.rs
+++ b/src/net/listener/connection_table/tests.rs
@@ -22,7 +22,8 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let stage = prop::sample::select(vec![Stage::Unfinished, Stage::Idle, Stage::Answering, Stage::InFlight]);
+    let stage =
+        prop::sample::select(vec![Stage::Unfinished, Stage::Idle, Stage::Responding, Stage::InFlight]);
     prop_oneof![
         3 => Just(Step::Accept),
         4 => (0usize..8, stage).prop_map(|(index, stage)| Step::SetStage(index, stage)),
--- a/src/net/listener/connections.rs
+++ b/src/net/listener/connections.rs
@@ -117,7 +117,7 @@
     /// Whether part of a further request has arrived on a connection that has had an answer.
     pub(super) fn has_partial_request(&self) -> bool {
         let table = self.connections.table();
-        table.open.get(&self.id).is_some_and(|e| e.has_answered && e.stage == Stage::Unfinished)
+        table.open.get(&self.id).is_some_and(|e| e.has_responded && e.stage == Stage::Unfinished)
     }
 }
 
--- a/src/net/listener/downstream_io.rs
+++ b/src/net/listener/downstream_io.rs
@@ -169,7 +169,7 @@
         let done = Pin::new(&mut *self.downstream.stream()).poll_flush(cx);
         if matches!(done, Poll::Ready(Ok(()))) {
             let next = if self.downstream.read_ahead().is_empty() { Stage::Idle } else { Stage::Unfinished };
-            self.entry.advance_stage(Stage::Answering, next);
+            self.entry.advance_stage(Stage::Responding, next);
         }
         done
     }
--- a/src/net/listener/handler.rs
+++ b/src/net/listener/handler.rs
@@ -19,7 +19,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::body::read_body;
-use super::client_watch::ClientWatch;
+use super::client_watch::DisconnectGuard;
 use super::connection::ClientConnection;
 use super::connection_table::Stage;
 use super::open_ids::OpenRequestId;
@@ -27,7 +27,9 @@
 use super::request_head::RequestHead;
 use super::Listener;
 use crate::net::admin::stats::AdminStats;
-use crate::net::control::message::{AcceptedRequest, Answer, Arrival, ForwardedRequest, Message, Reply};
+use crate::net::control::message::{
+    AcceptedRequest, Arrival, ForwardedRequest, Message, Reply, VersionedReply,
+};
 use crate::net::runtime::metrics::COUNTERS;
 use crate::net::runtime::shutdown::Phase;
 
@@ -47,12 +49,12 @@
 /// Returns the routes of the downstream listener.
 pub(super) fn routes(listener: Listener) -> Router {
     Router::new()
-        .route("/ready", get(answer_readiness))
+        .route("/ready", get(readiness_status))
         .fallback(handle_request)
         .with_state(Arc::new(listener))
 }
 
-async fn answer_readiness(State(listener): State<Arc<Listener>>) -> StatusCode {
+async fn readiness_status(State(listener): State<Arc<Listener>>) -> StatusCode {
     let is_ready = listener.is_ready.load(Relaxed) && *listener.phase.borrow() == Phase::Serving;
     if is_ready {
         StatusCode::OK
@@ -72,7 +74,7 @@
     listener.stats.record_request_started();
     let mut pending = PendingRequest { stats: &listener.stats, class: head.class, status: None };
     let received = ReceivedRequest { arrived_at, parts, head, body };
-    let response = answer(&listener, received, connection).await;
+    let response = respond(&listener, received, connection).await;
     pending.status = Some(response.status());
     response
 }
@@ -100,7 +102,7 @@
 }
 
 /// Returns the answer to a request whose head was read.
-async fn answer(
+async fn respond(
     listener: &Listener,
     received: ReceivedRequest,
     connection: Option<ClientConnection>,
@@ -130,9 +132,9 @@
         id,
         client_gone,
         reply: reply_receiver,
-        answer_by: deadline - LOST_REPLY_MARGIN.min(head.timeout),
+        respond_by: deadline - LOST_REPLY_MARGIN.min(head.timeout),
     };
-    let mut response = handed_over.await_answer(listener, connection.as_ref()).await;
+    let mut response = handed_over.await_response(listener, connection.as_ref()).await;
     // During a graceful shutdown, each connection closes with the answer that its client waits for.
     if *listener.phase.borrow() != Phase::Serving {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -166,7 +168,7 @@
         arrived_at: Instant,
         head: &RequestHead,
         forward: ForwardedRequest,
-        reply: oneshot::Sender<Answer>,
+        reply: oneshot::Sender<VersionedReply>,
     ) -> AcceptedRequest {
         // Requests accepted late in a shutdown must be answered before the process exits, even if their clients would
         // wait longer.
@@ -195,15 +197,15 @@
 struct HandedOverRequest {
     id: RequestId,
     client_gone: CancellationToken,
-    reply: oneshot::Receiver<Answer>,
-    answer_by: Instant,
+    reply: oneshot::Receiver<VersionedReply>,
+    respond_by: Instant,
 }
 
 impl HandedOverRequest {
     /// Waits for the control actor's reply. If it is lost, the answer is 504.
-    async fn await_answer(self, listener: &Listener, connection: Option<&ClientConnection>) -> Response {
-        let mut client_watch = ClientWatch::new(self.id, listener.control.clone(), self.client_gone);
-        let reply = timeout_at(self.answer_by, self.reply);
+    async fn await_response(self, listener: &Listener, connection: Option<&ClientConnection>) -> Response {
+        let mut disconnect_guard = DisconnectGuard::new(self.id, listener.control.clone(), self.client_gone);
+        let reply = timeout_at(self.respond_by, self.reply);
         let reply = tokio::select! {
             biased;
             reply = reply => reply,
@@ -212,11 +214,11 @@
         };
         match reply {
             Ok(Ok((reply, version))) => {
-                client_watch.on_answered();
+                disconnect_guard.on_answered();
                 reply_response(reply, version)
             }
             // Without a reply it is unknown whether the request ran, so it is answered as failed, in time for the
-            // client's deadline. `client_watch` then tells the control actor that the client disconnected.
+            // client's deadline. `disconnect_guard` then tells the control actor that the client disconnected.
             _ => {
                 COUNTERS.last_resort.increment();
                 StatusCode::GATEWAY_TIMEOUT.into_response()
