--- a/crates/kit/tests/transcript/mod.rs
+++ b/crates/kit/tests/transcript/mod.rs
@@ -1,7 +1,7 @@
-//! Runs the kit in a temporary folder and compares its output with a recorded transcript, byte for byte.
+//! Runs the kit in a temporary directory and compares its output with a recorded transcript, byte for byte.
 //!
-//! The temporary folder is the working folder, and the kit is given relative paths, so that the output does not depend
-//! on the folder's path. Only loopback addresses are replaced by names, because their ports vary.
+//! The temporary directory is the working directory, and the kit is given relative paths, so that the output does not depend
+//! on the path of the directory. Only loopback addresses are replaced by names, because their ports vary.
 //!
 //! `RECORD_OUTPUT=1` overwrites the transcripts and fails each test that does so. Record only where an output is meant
 //! to change, and list the changes in the commit.
@@ -19,25 +19,25 @@
 
 /// The transcript of one test case: its command lines and their output.
 pub struct Transcript {
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
     threads: &'static str,
     text: String,
 }
 
 impl Transcript {
     fn new(threads: &'static str) -> Transcript {
-        let folder = tempfile::tempdir().expect("a temporary folder");
-        Transcript { folder, threads, text: String::new() }
+        let directory = tempfile::tempdir().expect("a temporary directory");
+        Transcript { directory, threads, text: String::new() }
     }
 
     /// Writes a file that later runs can read.
     pub fn write(&self, name: &str, content: impl AsRef<[u8]>) {
-        fs::write(self.folder.path().join(name), content).expect("the folder can be written");
+        fs::write(self.directory.path().join(name), content).expect("the directory can be written");
     }
 
     /// Reads a file that the test or a run has written.
     pub fn read(&self, name: &str) -> Vec<u8> {
-        fs::read(self.folder.path().join(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
+        fs::read(self.directory.path().join(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
     }
 
     /// Runs the kit with the arguments in a line, and records the exit status and the output.
@@ -80,7 +80,7 @@
     fn execute(&self, line: &str) -> Output {
         Command::new(env!("CARGO_BIN_EXE_sedgestack-kit"))
             .args(line.split_whitespace())
-            .current_dir(self.folder.path())
+            .current_dir(self.directory.path())
             .env_clear()
             .env("RAYON_NUM_THREADS", self.threads)
             .stdin(Stdio::null())
@@ -127,7 +127,7 @@
     }
     let expected = fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     if expected != second {
-        fs::write(actual_path(name), &second).expect("the target folder can be written");
+        fs::write(actual_path(name), &second).expect("the target directory can be written");
     }
     assert_same(
         &format!("{name}, recorded and actual (in {})", actual_path(name).display()),
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -13,9 +13,9 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Returns all files under a folder, at any depth.
-fn files_under(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
+/// Returns all files under a directory, at any depth.
+fn files_under(directory: &Path) -> Vec<PathBuf> {
+    let entries = fs::read_dir(directory).unwrap().map(|entry| entry.unwrap().path());
     entries.flat_map(|path| if path.is_dir() { files_under(&path) } else { vec![path] }).collect()
 }
 
