--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -39,7 +39,7 @@
     #[error("version {0} is being decided: try again afterwards")]
     InProgress(Slot),
     /// The change is based on an earlier version than the latest decided one.
-    #[error("the change is based on version {parent}, but the latest version is {current}")]
+    #[error("the document is based on version {parent}, but version {current} is the latest")]
     StaleParent {
         /// The version that the change is based on.
         parent: Slot,
@@ -47,10 +47,10 @@
         current: Slot,
     },
     /// The document is longer than [`MAX_DOCUMENT_BYTES`].
-    #[error("the document has {0} bytes; the maximum is {MAX_DOCUMENT_BYTES}")]
+    #[error("the document has {0} bytes; at most {MAX_DOCUMENT_BYTES} are allowed")]
     DocumentTooLong(usize),
     /// A required replica is not in the group.
-    #[error("there is no replica {0}")]
+    #[error("there is no limiter {0}")]
     UnknownReplica(ReplicaId),
     /// This replica restarted without its votes and may not vote on this slot yet.
     #[error("this limiter lost its votes and cannot propose version {0} yet: propose it at another limiter")]
--- a/crates/kit/tests/transcript/mod.rs
+++ b/crates/kit/tests/transcript/mod.rs
@@ -1,7 +1,7 @@
 //! Runs the kit in a temporary directory and compares its output with a recorded transcript, byte for byte.
 //!
-//! The temporary directory is the working directory, and the kit is given relative paths, so that the output does not depend
-//! on the path of the directory. Only loopback addresses are replaced by names, because their ports vary.
+//! The kit runs in the temporary directory and is given relative paths, so that the output does not depend on the path
+//! of the directory. Only loopback addresses are replaced by names, because their ports vary.
 //!
 //! `RECORD_OUTPUT=1` overwrites the transcripts and fails each test that does so. Record only where an output is meant
 //! to change, and list the changes in the commit.
--- a/src/net/consensus/operator_calls.rs
+++ b/src/net/consensus/operator_calls.rs
@@ -158,7 +158,7 @@
             return Ok(version);
         }
         Err(CallError::conflict(format!(
-            "the document was made for version {parent}, but version {version} is active"
+            "the document is based on version {parent}, but version {version} is active"
         )))
     }
 
--- a/tests/fleet_rules/operators.rs
+++ b/tests/fleet_rules/operators.rs
@@ -33,7 +33,7 @@
     match tier.begin_change(1, &outdated, "") {
         Err(ChangeError::Rejected { status: 409, body: message }) => {
             assert!(
-                message.starts_with("the document was made for version 0, but version 1 is active"),
+                message.starts_with("the document is based on version 0, but version 1 is active"),
                 "{message}"
             );
         }
@@ -82,7 +82,7 @@
     let cases = [
         (valid.replace("rate  = 6.5", "rate  = 0.72"), 422, "\"faculdade\".rate: changes to a tenth"),
         (valid.replace("rate  = 6.5", "rate  = 6.5\n  speed = 2"), 400, "speed"),
-        (valid.replace("parent = 0", "parent = 7"), 409, "made for version 7, but version 0 is active"),
+        (valid.replace("parent = 0", "parent = 7"), 409, "based on version 7, but version 0 is active"),
         (valid.clone() + "\naddresses {\n  counter = \"127.0.0.1:1\"\n}\n", 400, "addresses"),
         (valid.clone() + "\nplan \"gold\" {\n  rate  = 1\n  burst = 5\n}\n", 400, "plan \"gold\""),
         (valid.clone() + &"# and more\n".repeat(6_000), 413, "at most"),
