--- a/src/decision/release_gate.rs
+++ b/src/decision/release_gate.rs
@@ -10,9 +10,9 @@
 pub(super) const TIER_RESERVE: f64 = 0.5;
 /// Number of consecutive customers without a backend that ends a tier's turn.
 const MAX_CONSECUTIVE_BLOCKED: usize = 3;
-/// Ticks between two releases while requests are queued.
+/// Number of ticks between two releases while requests are blocked.
 const RELEASE_INTERVAL_TICKS: u64 = 4;
-/// Minimum length of a tick here.
+/// Minimum length of a tick, in microseconds, when the next release is scheduled.
 const MIN_TICK: Micros = 1000;
 
 /// Result of a customer's turn.
--- a/src/decision/versions.rs
+++ b/src/decision/versions.rs
@@ -13,8 +13,8 @@
     plans: usize,
 }
 
-/// Tracks which classes and plans belong to the initial settings, and which other indices are free for the
-/// next version.
+/// Allocates the indices of classes and plans: those of the initial settings stay, and free ones are reused
+/// by the next version.
 #[derive(Default)]
 pub(super) struct IndexAllocation {
     /// `None` until a version is adopted: all classes and plans then belong to the initial settings.
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -54,7 +54,7 @@
         /// The backend to check.
         backend: BackendId,
     },
-    /// Open a subscription to endpoint lists.
+    /// Open a watch on the endpoint list.
     Subscribe,
     /// Send bytes to all other limiters.
     SendToPeers {
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -82,7 +82,7 @@
         /// The listed endpoints.
         endpoints: Arc<[Endpoint]>,
     },
-    /// A discovery call failed or a subscription broke; the last list remains valid.
+    /// A discovery call failed or a watch ended; the last list remains valid.
     DiscoveryFailed,
     /// A client sent a request.
     Request(Request),
--- a/src/net/admin/cordon.rs
+++ b/src/net/admin/cordon.rs
@@ -25,7 +25,7 @@
     set_cordoned(&admin, &uri, &headers, false).await
 }
 
-/// Cordons or uncordons a backend. Answers once the control actor has applied the change and it has been stored.
+/// Cordons or uncordons a backend. Responds once the control actor has applied the change and it has been stored.
 async fn set_cordoned(admin: &Admin, uri: &Uri, headers: &HeaderMap, cordoned: bool) -> Response {
     if has_body(headers) {
         return unexpected_body();
--- a/src/net/admin/drain.rs
+++ b/src/net/admin/drain.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Drains the limiter: `/ready` answers 503, and each client's connection closes after its next answer.
+/// Drains the limiter: `/ready` answers 503, and each client's connection closes after its next response.
 pub(super) async fn quiesce(State(admin): State<Arc<Admin>>, headers: HeaderMap) -> Response {
     if has_body(&headers) {
         return unexpected_body();
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! It has its own accept loop with capacity for [`MAX_CONNECTIONS`], separate from the clients' traffic. Calls reach
 //! the control actor through a mailbox that no client request uses. Each connection carries one call and has
-//! [`CALL_TIMEOUT`] from its accept to its answer. If the caller sends nothing, or an incomplete call, the connection
+//! [`CALL_TIMEOUT`] from its accept to its response. If the caller sends nothing, or an incomplete call, the connection
 //! is then closed and its capacity is freed.
 
 mod cordon;
@@ -39,7 +39,7 @@
 
 /// Maximum number of connections served at a time. Further ones wait in the listener's queue.
 pub const MAX_CONNECTIONS: usize = 16;
-/// Time from the accept of a connection to the last byte of the answer.
+/// Time from the accept of a connection to the last byte of the response.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum size of the head of a call, with all its header lines.
 const MAX_HEAD_BYTES: usize = 8 << 10;
--- a/src/net/admin/rules.rs
+++ b/src/net/admin/rules.rs
@@ -15,7 +15,7 @@
 use super::Admin;
 use crate::net::consensus::OperatorCall;
 
-/// Passes a call to the consensus actor, if there is one, and returns its answer.
+/// Passes a call to the consensus actor, if there is one, and converts the result to a response.
 async fn call_consensus(admin: &Admin, call: OperatorCall) -> Response {
     let Some(consensus) = &admin.consensus else {
         return error(StatusCode::NOT_FOUND, "no tier: the settings have no tier block");
@@ -98,7 +98,7 @@
     }
 }
 
-/// Proposes a version with the same values that canary analysis does not watch.
+/// Proposes a version with the same values and without canary analysis.
 pub(super) async fn hold(State(admin): State<Arc<Admin>>) -> Response {
     call_consensus(&admin, OperatorCall::Hold { pinned: false }).await
 }
--- a/src/net/admin/stats.rs
+++ b/src/net/admin/stats.rs
@@ -1,7 +1,7 @@
 //! Statistics for operators, served at `/admin/stats`. They are written where each event happens and read without a
 //! lock.
 //!
-//! All start at 0 with the process. Each count has one writer: the listener for answers, the upstream connection for
+//! All start at 0 with the process. Each count has one writer: the listener for responses, the upstream connection for
 //! the attempts that it wrote, and the control actor for endpoints.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
@@ -9,7 +9,7 @@
 use axum::http::StatusCode;
 use serde_json::{json, Map, Value};
 
-/// Counts the answers of one class by result.
+/// Counts the responses of one class by result.
 struct ClassStats {
     name: String,
     completed: AtomicU64,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the counter for an answer with `status`.
+    /// Returns the counter for a response with `status`.
     fn counter(&self, status: StatusCode) -> &AtomicU64 {
         if status.is_success() {
             &self.completed
@@ -81,7 +81,7 @@
     }
 
     /// Records that a request of class `class`, an index into the settings, has ended with `status`. `None` means
-    /// that its client disconnected first, so that there is no answer to count.
+    /// that its client disconnected first, so that there is no response to count.
     pub fn record_request_ended(&self, class: usize, status: Option<StatusCode>) {
         self.pending.fetch_sub(1, Relaxed);
         if let (Some(class), Some(status)) = (self.classes.get(class), status) {
--- a/src/net/canary.rs
+++ b/src/net/canary.rs
@@ -113,14 +113,14 @@
     pub drop: f64,
 }
 
-/// The canary analysis in this limiter.
+/// Runs the canary analysis of this limiter.
 pub struct CanaryMonitor {
     settings: Settings,
     own: ReplicaId,
     replicas: ReplicaId,
     /// The outcomes counted here in the latest seconds.
     recent: VecDeque<SecondOutcomes>,
-    /// The latest change that was watched.
+    /// The latest change that was analyzed.
     change: Option<AnalyzedChange>,
     /// The second of the latest step.
     last_step_second: u64,
@@ -132,7 +132,7 @@
         CanaryMonitor { settings, own, replicas, recent: VecDeque::new(), change: None, last_step_second: 0 }
     }
 
-    /// Starts to watch a version that became active at `activated_at`. `touched` marks the plans that it affects.
+    /// Starts the analysis of a version that became active at `activated_at`. `touched` marks the plans that it affects.
     pub fn begin(&mut self, version: Slot, digest: Digest, activated_at: Micros, touched: Vec<bool>) {
         let spans = (self.settings.baseline_s, self.settings.analysis_s);
         let Ok(analysis) = CanaryAnalysis::new(self.settings.clone()) else { return };
@@ -153,8 +153,8 @@
         self.change = Some(analyzed);
     }
 
-    /// Records that `digest` became active. If it is another document, the change is no longer watched. `is_held` tells
-    /// that both documents have the same values.
+    /// Records that `digest` became active. If it is another document, the analysis of the change ends. `is_held` tells
+    /// whether both documents have the same values.
     pub fn on_version_active(&mut self, digest: Digest, is_held: bool) {
         if let Some(analyzed) =
             self.change.as_mut().filter(|change| change.digest != digest && !change.is_replaced)
@@ -177,18 +177,18 @@
     /// Handles a datagram from another replica.
     ///
     /// # Errors
-    /// Returns an error if the datagram is damaged, or concerns a version that is not watched here.
+    /// Returns an error if the datagram is damaged, or concerns a version that is not under analysis here.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(), DatagramError> {
         self.analyzed_change()
             .map_or(Err(DatagramError::UnknownSender), |analyzed| analyzed.outcomes.receive(bytes))
     }
 
-    /// Returns the change that is watched now.
+    /// Returns the change that is under analysis now.
     fn analyzed_change(&mut self) -> Option<&mut AnalyzedChange> {
         self.change.as_mut().filter(|change| !change.is_replaced)
     }
 
-    /// Evaluates the watched change, once a second.
+    /// Evaluates the change under analysis, once a second.
     pub fn step(&mut self, now: Micros) -> CanaryStep {
         let second = now / 1_000_000;
         if second == self.last_step_second {
@@ -211,7 +211,7 @@
         CanaryStep { datagrams: analyzed.outcomes.step(second), rollback }
     }
 
-    /// Returns the latest watched change as shown to operators; null if there was none.
+    /// Returns the latest analyzed change as shown to operators; null if there was none.
     pub fn status(&self) -> Value {
         let Some(change) = &self.change else { return Value::Null };
         let state = match change.verdict {
--- a/src/net/config/addresses.rs
+++ b/src/net/config/addresses.rs
@@ -12,7 +12,7 @@
 }
 
 impl Addresses {
-    /// Returns these addresses as changed by a reload that read `reloaded`. The environment of a running process can't
+    /// Returns the addresses to use after a reload that read `reloaded`. The environment of a running process can't
     /// change, so a new address of discovery in the file overrides `LB_DISCOVERY`.
     pub fn after_reload(self, reloaded: Addresses) -> Addresses {
         let new = reloaded.discovery_in_file.filter(|_| reloaded.discovery_in_file != self.discovery_in_file);
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -81,7 +81,7 @@
     pub(super) served_document: Document,
     /// The latest document before the active one that had other values.
     pub(super) previous: Option<Document>,
-    /// The version that was served last. The next change must be based on it to be watched.
+    /// The version that was served last. Only a change that is based on it can be analyzed.
     served_version: Slot,
     pub(super) proposal: Option<Proposal>,
     pub(super) store: StateStore,
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Reports a newly active document to the canary analysis, and starts to watch it if the document asks for that.
+    /// Reports a newly active document to the canary analysis, and starts its analysis if the document asks for that.
     fn analyze_change(&mut self, slot: Slot, document: &Document, has_same_values: bool) {
         let Some(canary) = &mut self.canary else { return };
         let digest = document.digest();
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Sends the datagrams of the canary analysis, and proposes to roll the watched change back if service fell.
+    /// Sends the datagrams of the canary analysis, and proposes to roll the change back if service fell.
     fn step_canary(&mut self) {
         let now = self.now();
         let Some(canary) = &mut self.canary else { return };
--- a/src/net/consensus/configured_rules.rs
+++ b/src/net/consensus/configured_rules.rs
@@ -16,7 +16,7 @@
 /// Minimum burst that a document can express. Plans below it can't be changed in service.
 const MIN_BURST: f64 = 1.0;
 
-/// The configured values: version 0, and bounds for all later versions.
+/// The configured values. They are version 0, and they bound all later versions.
 #[derive(Clone)]
 pub struct ConfiguredRules {
     classes: Vec<Class>,
--- a/src/net/consensus/operator_calls.rs
+++ b/src/net/consensus/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls on the versions of the runtime configuration, and their answers.
+//! Operators' calls on the versions of the runtime configuration, and their results.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 use super::actor::ConsensusActor;
 use crate::info;
 
-/// Reason why a call failed, with the status and text of its HTTP answer.
+/// Reason why a call failed, with the status and text of its HTTP response.
 #[derive(Debug, thiserror::Error)]
 #[error("{message}")]
 pub struct CallError {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Answer to a call.
+/// Result of a call.
 pub type CallResult = Result<Value, CallError>;
 
 /// Calls of operators.
@@ -67,7 +67,8 @@
     Undo {
         force: bool,
     },
-    /// Proposes a version with the same values that is not watched. If it is pinned, further changes need `force`.
+    /// Proposes a version with the same values and without canary analysis. If it is pinned, further changes need
+    /// `force`.
     Hold {
         pinned: bool,
     },
@@ -77,7 +78,7 @@
     Adopt,
 }
 
-/// A call and the channel for its answer.
+/// A call and the channel for its result.
 pub type OperatorRequest = (OperatorCall, oneshot::Sender<CallResult>);
 
 /// Outcome of a proposal.
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Proposes a version with the same values that is not watched. It is decided like any other version, so it ends
-    /// the canary analysis of the active one at all limiters or at none.
+    /// Proposes a version with the same values and without canary analysis. It is decided like any other version, so it
+    /// ends the analysis of the active one at all limiters or at none.
     fn hold(&mut self, pinned: bool) -> CallResult {
         let (version, _) = self.replica.active_version();
         let text = self.served_document.text_of_held_version(version, pinned);
@@ -218,7 +219,7 @@
         Ok(self.status())
     }
 
-    /// Proposes a document as the next version. The proposal is given up if a replica of `required` does not answer.
+    /// Proposes a document as the next version. The proposal is abandoned if a replica of `required` does not answer.
     pub(super) fn propose(&mut self, document: Document, required: BTreeSet<ReplicaId>) -> CallResult {
         let (now, (parent, _)) = (self.now(), self.replica.active_version());
         let digest = document.digest();
--- a/src/net/consensus/status.rs
+++ b/src/net/consensus/status.rs
@@ -1,4 +1,4 @@
-//! The answer to `GET /admin/rules`.
+//! The response to `GET /admin/rules`.
 
 use sedgestack_consensus::ReplicaStatus;
 use serde_json::{json, Value};
--- a/src/net/listener/client_watch.rs
+++ b/src/net/listener/client_watch.rs
@@ -1,4 +1,4 @@
-//! Reports clients that disconnect before their answer.
+//! Reports clients that disconnect before their response.
 
 use sedgestack::RequestId;
 use tokio::sync::mpsc;
@@ -16,7 +16,7 @@
 }
 
 impl DisconnectGuard {
-    /// Watches the client of request `id`. If the client disconnects, `client_gone` is cancelled and `control` is
+    /// Creates the guard of request `id`. If its client disconnects, `client_gone` is cancelled and `control` is
     /// notified.
     pub(super) fn new(
         id: RequestId,
@@ -26,7 +26,7 @@
         DisconnectGuard { id, control, client_gone, is_answered: false }
     }
 
-    /// Records that the request has its answer: dropping this value then reports nothing.
+    /// Records that the request was answered: dropping this value then reports nothing.
     pub(super) fn on_answered(&mut self) {
         self.is_answered = true;
     }
--- a/src/net/listener/connection.rs
+++ b/src/net/listener/connection.rs
@@ -43,7 +43,7 @@
 ///
 /// A connection that is idle when a graceful shutdown begins is closed at once, unless it is so new that its first
 /// request may be on its way. A connection accepted during the shutdown is closed when the process stops, and one
-/// accepted after that when the listener closes. During a shutdown, each answer closes its connection.
+/// accepted after that when the listener closes. During a shutdown, each response closes its connection.
 pub(super) async fn serve_connection(
     stream: TcpStream,
     routes: Router,
@@ -71,15 +71,15 @@
             ConnectionEnd::Finished(ended) => ended,
         }
     };
-    // Otherwise the client has disconnected, or its last answer needs no further reading.
+    // Otherwise the client has disconnected, or its last response needs no further reading.
     if was_refused.load(Relaxed) || ended.is_err_and(|e| e.is_parse()) {
         entry.set_stage(Stage::Unfinished);
         skip_unread(&downstream).await;
     }
 }
 
-/// Passes requests on to `routes` together with their connection. Records the stage of each answer, and in
-/// `was_refused` whether the last answer was a client error.
+/// Passes requests on to `routes` together with their connection. Records when each response begins, and in
+/// `was_refused` whether the last response was a client error.
 fn request_service<'a>(
     routes: Router,
     client: &'a ClientConnection,
@@ -121,7 +121,7 @@
     }
 
     /// Waits until the connection must close if it is idle. Waiting for `earliest_close` protects a request on its
-    /// way: closing the connection before its first byte is read would lose the request. After the wait, its answer
+    /// way: closing the connection before its first byte is read would lose the request. After the wait, its response
     /// closes the connection.
     async fn wait_until_due(&mut self) {
         let _ = self.phase.wait_for(|p| *p >= self.closing_phase).await;
@@ -165,7 +165,7 @@
     }
 }
 
-/// Continues serving while part of a further request has arrived on the connection, whose answer closes the connection.
+/// Continues serving while part of a further request has arrived on the connection; the response then closes it.
 /// Returns `None` once there is no partial request. Shutting the connection down earlier would make the server library
 /// discard the bytes of the request that it has read.
 async fn finish_partial_request<S>(
--- a/src/net/listener/connection_table.rs
+++ b/src/net/listener/connection_table.rs
@@ -14,7 +14,7 @@
 /// Time within which a whole request, head and body, must arrive. The platform requires that a client that sends
 /// invalid data, or nothing, is disconnected within 3 s of connecting.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Time within which a client must read its answer.
+/// Time within which a client must read its response.
 const RESPONSE_READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long an idle connection stays open between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -30,7 +30,7 @@
     min_time: Duration,
 }
 
-/// The order in which connections are closed when capacity runs short. Idle clients that have had an answer can
+/// The order in which connections are closed when capacity runs short. Idle clients that have had a response can
 /// reconnect without harm, while a client that is slow to send loses its request. Normal requests arrive in less than
 /// the shortest of these times.
 const EVICTION_ORDER: [EvictionRule; 4] = [
@@ -48,9 +48,9 @@
     /// A new connection awaits its first request, part of a request has arrived, or the rest of a request is being
     /// skipped after an error response.
     Unfinished,
-    /// No answer is outstanding; the next request may arrive.
+    /// No response is outstanding; the next request may arrive.
     Idle,
-    /// The answer is being written.
+    /// The response is being written.
     Responding,
     /// The request was passed to the control actor and is not answered yet.
     InFlight,
@@ -102,7 +102,7 @@
     pub(super) task: Option<AbortHandle>,
     /// Whether the connection is being closed.
     is_closing: bool,
-    /// Whether the client has received an answer on the connection.
+    /// Whether a response has begun on the connection.
     pub(super) has_responded: bool,
 }
 
--- a/src/net/listener/connections.rs
+++ b/src/net/listener/connections.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether part of a further request has arrived on a connection that has had an answer.
+    /// Whether part of a further request has arrived on a connection that has had a response.
     pub(super) fn has_partial_request(&self) -> bool {
         let table = self.connections.table();
         table.open.get(&self.id).is_some_and(|e| e.has_responded && e.stage == Stage::Unfinished)
--- a/src/net/listener/downstream_io.rs
+++ b/src/net/listener/downstream_io.rs
@@ -102,7 +102,7 @@
 }
 
 /// A client's connection in the form that the server library uses. Records in the connection's entry when a request
-/// begins and when an answer has been written.
+/// begins and when a response has been written.
 pub(super) struct DownstreamIo {
     downstream: Arc<Downstream>,
     entry: Arc<ConnectionEntry>,
--- a/src/net/listener/handler.rs
+++ b/src/net/listener/handler.rs
@@ -1,4 +1,4 @@
-//! Handles a request from its head to its one final answer.
+//! Handles a request from its head to its one final response.
 
 use std::future::pending;
 use std::sync::atomic::Ordering::Relaxed;
@@ -79,8 +79,8 @@
     response
 }
 
-/// A request of a known class that awaits its answer. When dropped, it is counted by the status of its answer, or is
-/// not counted if the client disconnected first.
+/// A request of a known class that awaits its response. When dropped, it is counted by the status of the response, or
+/// is not counted if the client disconnected first.
 struct PendingRequest<'a> {
     stats: &'a AdminStats,
     class: usize,
@@ -101,7 +101,7 @@
     body: Body,
 }
 
-/// Returns the answer to a request whose head was read.
+/// Returns the response to a request whose head was read.
 async fn respond(
     listener: &Listener,
     received: ReceivedRequest,
@@ -135,7 +135,7 @@
         respond_by: deadline - LOST_REPLY_MARGIN.min(head.timeout),
     };
     let mut response = handed_over.await_response(listener, connection.as_ref()).await;
-    // During a graceful shutdown, each connection closes with the answer that its client waits for.
+    // During a graceful shutdown, each connection closes with the response that its client waits for.
     if *listener.phase.borrow() != Phase::Serving {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
@@ -202,7 +202,7 @@
 }
 
 impl HandedOverRequest {
-    /// Waits for the control actor's reply. If it is lost, the answer is 504.
+    /// Waits for the control actor's reply. If it is lost, the response has status 504.
     async fn await_response(self, listener: &Listener, connection: Option<&ClientConnection>) -> Response {
         let mut disconnect_guard = DisconnectGuard::new(self.id, listener.control.clone(), self.client_gone);
         let reply = timeout_at(self.respond_by, self.reply);
@@ -218,7 +218,8 @@
                 reply_response(reply, version)
             }
             // Without a reply it is unknown whether the request ran, so it is answered as failed, in time for the
-            // client's deadline. `disconnect_guard` then tells the control actor that the client disconnected.
+            // client's deadline. `disconnect_guard` then reports a disconnect to the control
+            // actor, which ends the request.
             _ => {
                 COUNTERS.last_resort.increment();
                 StatusCode::GATEWAY_TIMEOUT.into_response()
--- a/src/net/listener/mod.rs
+++ b/src/net/listener/mod.rs
@@ -1,5 +1,5 @@
 //! The listener for clients: accepts connections, reads requests, passes them to the control actor and writes exactly
-//! one final answer to each.
+//! one final response to each.
 //!
 //! A request passes through these modules as follows: `accept` accepts its connection, which `connection` serves
 //! until it ends. `handler` reads the request with `request_head` and `body`, passes it on and answers it.
--- a/src/net/listener/request_head.rs
+++ b/src/net/listener/request_head.rs
@@ -22,7 +22,7 @@
     pub(super) customer: u64,
     pub(super) metering: Metering,
     pub(super) is_retry: bool,
-    /// How long the client waits for an answer.
+    /// How long the client waits for a response.
     pub(super) timeout: Duration,
     pub(super) id: HeaderValue,
     pub(super) idempotency_key: Option<HeaderValue>,
--- a/src/net/runtime/log.rs
+++ b/src/net/runtime/log.rs
@@ -81,7 +81,8 @@
     LINE_RATE.admit(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs())
 }
 
-/// Writes a line to the log, unless the limit for the current second is reached.
+/// Writes a line of level info to the log, unless the limit for the current second is reached. Use this macro instead
+/// of `tracing::info!`, which has no limit.
 #[macro_export]
 macro_rules! info {
     ($($words:tt)*) => {
--- a/src/net/runtime/metrics.rs
+++ b/src/net/runtime/metrics.rs
@@ -57,7 +57,7 @@
     downstream_accepted,
     downstream_accept_failed,
     /// Downstream connections closed because their request did not arrive in time, because they were idle, or because
-    /// the client did not read its answer. The last two count connections closed for lack of capacity: with an
+    /// the client did not read its response. The last two count connections closed for lack of capacity: with an
     /// unfinished request, and idle.
     downstream_closed_unfinished,
     downstream_closed_idle,
@@ -72,13 +72,13 @@
     already_open,
     too_large,
     turned_away_full,
-    /// Answers to accepted requests.
+    /// Responses to accepted requests.
     served,
     rejections,
     failed,
     /// Requests answered with 504 because the control actor's reply did not come in time.
     last_resort,
-    /// Clients that disconnected before their answer.
+    /// Clients that disconnected before their response.
     abandoned,
     /// Attempts started, and how they ended.
     attempts,
@@ -121,7 +121,7 @@
     tier_unknown_format,
     tier_unheard,
     /// Datagrams of canary analysis: received, dropped because of their part of the limit, and damaged or about a
-    /// version that is not watched here. The last counts automatic rollbacks proposed here.
+    /// version that is not under analysis here. The last counts automatic rollbacks proposed here.
     tallies_taken_in,
     tallies_over,
     tallies_unheard,
@@ -140,7 +140,7 @@
     /// Records written to the capture, and records dropped.
     captured,
     capture_dropped,
-    /// Batches of events passed to the decisions, and the events in them.
+    /// Batches of events passed to the decision logic, and the events in them.
     batches,
     events,
     /// Calls to the operators' address that succeeded, and calls answered with an error.
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -23,7 +23,7 @@
 const ALTERNATIVE_DEADLINE: Duration = Duration::from_secs(3);
 /// Minimum time from the deadline to the kill by the platform. The process exits when this time has passed.
 const KILL_DELAY: Duration = Duration::from_millis(600);
-/// Time between the last answer and the exit of the process.
+/// Time between the last response and the exit of the process.
 const ANSWER_MARGIN: Duration = Duration::from_millis(100);
 /// Requests that arrive later than this in a shutdown must be answered before the earliest possible kill, or they are
 /// lost. The platform's limit for this is 0.7 s.
@@ -71,7 +71,7 @@
 pub enum Phase {
     /// Ready for new clients.
     Serving,
-    /// Drained by an operator: not ready, and each client's connection closes after its next answer. The process
+    /// Drained by an operator: not ready, and each client's connection closes after its next response. The process
     /// keeps running.
     Quiesced,
     /// Told to stop: still accepts connections and answers all requests.
