--- a/crates/model/src/gauges.rs
+++ b/crates/model/src/gauges.rs
@@ -36,7 +36,7 @@
     pub backends_up: u32,
 }
 
-/// Returns the mean of the highest twentieth of a figure over the seconds of a run. This shows a peak without depending
+/// Returns the mean of the highest twentieth of a metric over the seconds of a run. This shows a peak without depending
 /// on a single second.
 pub fn peak(seconds: &[Second], of: impl Fn(&Second) -> f64) -> f64 {
     let mut values: Vec<f64> = seconds.iter().map(of).collect();
@@ -48,7 +48,7 @@
     values[..count].iter().sum::<f64>() / count as f64
 }
 
-/// Returns the mean of a figure over the seconds of a run.
+/// Returns the mean of a metric over the seconds of a run.
 pub fn mean(seconds: &[Second], of: impl Fn(&Second) -> f64) -> f64 {
     if seconds.is_empty() {
         return 0.0;
--- a/crates/model/src/score.rs
+++ b/crates/model/src/score.rs
@@ -1,7 +1,7 @@
-//! The score of a run. Its main figure is the value served: the value of requests answered in time, divided by the
+//! The score of a run. Its main metric is the value served: the value of requests answered in time, divided by the
 //! value of all requests within quotas.
 //!
-//! Both the model and rehearsals use [`Scorer`], so their figures are comparable.
+//! Both the model and rehearsals use [`Scorer`], so their scores are comparable.
 
 use std::collections::HashMap;
 
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! From a fleet and its load, which is either captured or described in the fleet file, the planner estimates the
 //! minimum number of backends that meets the objectives, the resources that break first as load grows, and the cost of
-//! losing parts of the fleet. The figures behind these results have confidence intervals over seeds.
+//! losing parts of the fleet. The metrics behind these results have confidence intervals over seeds.
 //!
 //! The planner does no I/O. Seeds run in parallel and their results are combined in seed order, so the same input gives
 //! the same plan.
@@ -79,7 +79,7 @@
     /// Number of backends in the fleet.
     #[serde(rename = "workers_today")]
     pub backends_today: u32,
-    /// Number of seeds, each a simulated run, behind every figure.
+    /// Number of seeds, each a simulated run, behind every metric.
     pub seeds: u32,
     /// The load that the plan is based on.
     pub load: ObservedLoad,
@@ -113,7 +113,7 @@
 /// Reports progress: the current step, and the fraction of the work completed so far.
 pub type Progress<'a> = &'a (dyn Fn(&str, f64) + Sync);
 
-/// Makes a capacity plan for a fleet under the load of `source`, with `seeds` simulated runs behind every figure.
+/// Makes a capacity plan for a fleet under the load of `source`, with `seeds` simulated runs behind every metric.
 pub fn plan(fleet: &Fleet, source: &Source, seeds: u32, progress: Progress<'_>) -> Plan {
     let growth = fleet.growth.as_ref();
     let factor = growth.map_or(1.0, |growth| growth.load);
--- a/crates/report/src/figures.rs
+++ b/crates/report/src/figures.rs
@@ -1,4 +1,4 @@
-//! Formats figures as text, for the terminal and the HTML page alike.
+//! Formats numbers as text, for the terminal and the HTML page alike.
 
 use sedgestack_plan::{ClassFit, Interval};
 
--- a/crates/report/src/markup.rs
+++ b/crates/report/src/markup.rs
@@ -1,4 +1,4 @@
-//! Builds the parts of an HTML page: escaped text, tables and figures.
+//! Builds the parts of an HTML page: escaped text, tables, and plots with captions.
 
 /// A row of a table.
 pub struct Row {
