--- a/src/decision/versions.rs
+++ b/src/decision/versions.rs
@@ -32,13 +32,13 @@
     }
 }
 
-/// Returns the indices from `configured` to `total` that are not in `held`.
-fn unheld_indices(configured: usize, total: usize, held: impl Iterator<Item = usize>) -> BTreeSet<usize> {
-    let mut unheld: BTreeSet<usize> = (configured..total).collect();
-    for index in held {
-        unheld.remove(&index);
+/// Returns the indices from `configured` to `total` that are not in `in_use`.
+fn unused_indices(configured: usize, total: usize, in_use: impl Iterator<Item = usize>) -> BTreeSet<usize> {
+    let mut unused: BTreeSet<usize> = (configured..total).collect();
+    for index in in_use {
+        unused.remove(&index);
     }
-    unheld
+    unused
 }
 
 /// Whether the last of `total` entries is spare.
@@ -135,18 +135,18 @@
         index
     }
 
-    /// Frees the classes and plans of all versions except those in `held`, unless a request, attempt or
+    /// Frees the classes and plans of all versions except those in `in_use`, unless a request, attempt or
     /// customer still refers to them. Returns whether all of them could be freed.
-    pub fn retire_versions(&mut self, held: &[&VersionIndices]) -> bool {
+    pub fn retire_versions(&mut self, in_use: &[&VersionIndices]) -> bool {
         let Some(configured) = self.allocation.configured else { return true };
-        let held_classes = held.iter().flat_map(|version| version.classes.iter().copied());
-        let held_plans = held.iter().flat_map(|version| version.plans.iter().copied());
-        let mut classes = unheld_indices(configured.classes, self.settings.classes.len(), held_classes);
-        let mut plans = unheld_indices(configured.plans, self.settings.plans.len(), held_plans);
+        let used_classes = in_use.iter().flat_map(|version| version.classes.iter().copied());
+        let used_plans = in_use.iter().flat_map(|version| version.plans.iter().copied());
+        let mut classes = unused_indices(configured.classes, self.settings.classes.len(), used_classes);
+        let mut plans = unused_indices(configured.plans, self.settings.plans.len(), used_plans);
         if classes.is_empty() && plans.is_empty() {
             return true;
         }
-        let unheld_count = classes.len() + plans.len();
+        let unused_count = classes.len() + plans.len();
         for request in self.requests.values() {
             classes.remove(&request.class);
         }
@@ -156,7 +156,7 @@
         for customer in self.customers.values() {
             plans.remove(&customer.plan);
         }
-        let all_unused = unheld_count == classes.len() + plans.len();
+        let all_unused = unused_count == classes.len() + plans.len();
         (self.allocation.spare_classes, self.allocation.spare_plans) = (classes, plans);
         self.remove_trailing_spares();
         all_unused
