--- a/crates/kit/src/tier/change.rs
+++ b/crates/kit/src/tier/change.rs
@@ -13,9 +13,10 @@
 
 /// Interval between requests for the state of a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest wait for a change's outcome, in leads; `OUTCOME_TIMEOUT_MARGIN` is added. A vote takes the lead and some rounds.
+/// Maximum wait for a change's outcome as a multiple of its lead, the time from its proposal to its activation. A vote
+/// takes the lead and some rounds, for which `OUTCOME_TIMEOUT_MARGIN` is added.
 const OUTCOME_TIMEOUT_LEADS: u32 = 3;
-/// Added to the longest wait for a change's outcome, to cover the vote's rounds.
+/// Addition to the maximum wait for a change's outcome, for the rounds of the vote.
 const OUTCOME_TIMEOUT_MARGIN: Duration = Duration::from_secs(30);
 
 /// Which limiters must vote for a change.
--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -1,4 +1,4 @@
-//! The limiter: passes each event to the module that handles it and collects the resulting actions.
+//! The limiter: passes each event to the code that handles it and collects the resulting actions.
 
 use std::collections::BTreeMap;
 
--- a/src/decision/versions.rs
+++ b/src/decision/versions.rs
@@ -146,7 +146,7 @@
         if classes.is_empty() && plans.is_empty() {
             return true;
         }
-        let unused_count = classes.len() + plans.len();
+        let candidate_count = classes.len() + plans.len();
         for request in self.requests.values() {
             classes.remove(&request.class);
         }
@@ -156,10 +156,10 @@
         for customer in self.customers.values() {
             plans.remove(&customer.plan);
         }
-        let all_unused = unused_count == classes.len() + plans.len();
+        let all_freed = candidate_count == classes.len() + plans.len();
         (self.allocation.spare_classes, self.allocation.spare_plans) = (classes, plans);
         self.remove_trailing_spares();
-        all_unused
+        all_freed
     }
 
     /// Removes the spare entries at the end; those before entries in use are kept for the next version. A
--- a/src/net/listener/handler.rs
+++ b/src/net/listener/handler.rs
@@ -218,8 +218,7 @@
                 reply_response(reply, version)
             }
             // Without a reply it is unknown whether the request ran, so it is answered as failed, in time for the
-            // client's deadline. `disconnect_guard` then reports a disconnect to the control
-            // actor, which ends the request.
+            // client's deadline. `disconnect_guard` then reports a disconnect, which ends the request.
             _ => {
                 COUNTERS.last_resort.increment();
                 StatusCode::GATEWAY_TIMEOUT.into_response()
