--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,5 +1,5 @@
 //! A discrete-event simulation of a limiter fleet: clients with retries, the network, backends, service discovery and
-//! the quota counter. Each simulated limiter runs the real decision module ([`sedgestack::Limiter`]).
+//! the quota counter. Each simulated limiter runs the real decision logic ([`sedgestack::Limiter`]).
 //!
 //! The simulation does no I/O and reads no clock. Runs are deterministic: the same scenario and seed give the same run
 //! on any number of threads, which can be verified by [`RunOutcome::digest`]. Times are whole microseconds from the
--- a/crates/model/src/sim/clients.rs
+++ b/crates/model/src/sim/clients.rs
@@ -41,7 +41,7 @@
     pub received_at: Micros,
     /// The incarnation of the limiter that received the try.
     pub incarnation: u32,
-    /// When the limiter's decision module handled the try.
+    /// When the limiter's decision logic handled the try.
     pub handled_at: Micros,
     /// Whether the limiter is done with the try: answered, abandoned by the client, or lost with the limiter.
     pub is_answered: bool,
--- a/crates/model/src/sim/inbox.rs
+++ b/crates/model/src/sim/inbox.rs
@@ -1,4 +1,4 @@
-//! The inbox of a limiter: events wait until the limiter's CPU is free, then its decision module handles them and the
+//! The inbox of a limiter: events wait until the limiter's CPU is free, then its decision logic handles them and the
 //! resulting actions are carried out.
 
 use sedgestack::{Action, Event as LimiterEvent, Outcome};
--- a/crates/model/src/sim/limiters.rs
+++ b/crates/model/src/sim/limiters.rs
@@ -26,7 +26,7 @@
 
 /// A limiter of a run.
 pub struct SimulatedLimiter {
-    /// The decision module.
+    /// The decision logic.
     pub(super) decisions: Limiter,
     /// The indices of the classes and plans of the active version.
     pub(super) indices: VersionIndices,
--- a/crates/model/src/sim/scenario.rs
+++ b/crates/model/src/sim/scenario.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// One call of a limiter's decision module.
+/// One call of a limiter's decision logic.
 #[derive(Clone, Copy, Debug)]
 pub struct Step<'a> {
     /// The limiter's number.
--- a/src/net/canary.rs
+++ b/src/net/canary.rs
@@ -132,7 +132,8 @@
         CanaryMonitor { settings, own, replicas, recent: VecDeque::new(), change: None, last_step_second: 0 }
     }
 
-    /// Starts the analysis of a version that became active at `activated_at`. `touched` marks the plans that it affects.
+    /// Starts the analysis of a version that became active at `activated_at`. `touched` marks the plans that it
+    /// affects.
     pub fn begin(&mut self, version: Slot, digest: Digest, activated_at: Micros, touched: Vec<bool>) {
         let spans = (self.settings.baseline_s, self.settings.analysis_s);
         let Ok(analysis) = CanaryAnalysis::new(self.settings.clone()) else { return };
@@ -227,9 +228,9 @@
             _ => (None, None),
         };
         json!({
-            "version": change.version, "state": state, "judges": change.outcomes.evaluated_tree().is_some(), "drop": drop,
-            "after_s": after_s, "limiters": change.limiters, "seconds_before": change.seconds_before,
-            "seconds_after": change.seconds_after,
+            "version": change.version, "state": state, "judges": change.outcomes.evaluated_tree().is_some(),
+            "drop": drop, "after_s": after_s, "limiters": change.limiters,
+            "seconds_before": change.seconds_before, "seconds_after": change.seconds_after,
         })
     }
 }
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -359,8 +359,8 @@
         }
     }
 
-    /// Whether the control actor already knows these versions, with a lease that is shorter by less than half a heartbeat
-    /// interval.
+    /// Whether the control actor already knows these versions, with a lease that is shorter by less than half a
+    /// heartbeat interval.
     fn is_reported(&self, version: Slot, lease: &VersionLease) -> bool {
         let half_heartbeat = self.settings.heartbeat_interval / 2;
         self.last_report.as_ref().is_some_and(|last| {
