--- a/src/net/admin/cordon.rs
+++ b/src/net/admin/cordon.rs
@@ -10,10 +10,10 @@
 
 use super::respond::{error, has_body, ok, unexpected_body};
 use super::Admin;
+use crate::info;
 use crate::net::control::cordons;
 use crate::net::control::message::ControlCommand;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// Cordons a backend.
 pub(super) async fn cordon(State(admin): State<Arc<Admin>>, uri: Uri, headers: HeaderMap) -> Response {
@@ -25,7 +25,7 @@
     set_cordoned(&admin, &uri, &headers, false).await
 }
 
-/// Cordons or uncordons a backend. Answers once the control actor has applied the change and it has been stored.
+/// Cordons or uncordons a backend. Responds once the control actor has applied the change and it has been stored.
 async fn set_cordoned(admin: &Admin, uri: &Uri, headers: &HeaderMap, cordoned: bool) -> Response {
     if has_body(headers) {
         return unexpected_body();
@@ -35,11 +35,11 @@
         Err(reason) => return error(StatusCode::BAD_REQUEST, reason),
     };
     let _guard = admin.cordon_lock.lock().await;
-    let (reply, answer) = oneshot::channel();
+    let (reply, reply_receiver) = oneshot::channel();
     if admin.control.try_send(ControlCommand::Cordon { name: name.clone(), cordoned, reply }).is_err() {
         return error(StatusCode::SERVICE_UNAVAILABLE, "the control actor is busy; call again");
     }
-    let names = match answer.await {
+    let names = match reply_receiver.await {
         Ok(Some(names)) => names,
         Ok(None) => return error(StatusCode::NOT_FOUND, &format!("no backend {name} is known")),
         Err(_) => return error(StatusCode::SERVICE_UNAVAILABLE, "the control actor has stopped"),
@@ -71,6 +71,6 @@
     let Some(path) = &admin.cordon_file else { return };
     if let Err(e) = cordons::change(path, name, cordoned) {
         COUNTERS.cordons_unwritten.increment();
-        say!("cordons: {}: {e}; the cordons last only until this process ends", path.display());
+        info!("cordons: {}: {e}; the cordons last only until this process ends", path.display());
     }
 }
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! It has its own accept loop with capacity for [`MAX_CONNECTIONS`], separate from the clients' traffic. Calls reach
 //! the control actor through a mailbox that no client request uses. Each connection carries one call and has
-//! [`CALL_TIMEOUT`] from its accept to its answer. If the caller sends nothing, or an incomplete call, the connection
+//! [`CALL_TIMEOUT`] from its accept to its response. If the caller sends nothing, or an incomplete call, the connection
 //! is then closed and its capacity is freed.
 
 mod cordon;
@@ -29,17 +29,17 @@
 use tokio::sync::{mpsc, watch, Mutex, Semaphore};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
+use crate::info;
 use crate::net::admin::stats::AdminStats;
 use crate::net::consensus::OperatorRequest;
 use crate::net::control::message::ControlCommand;
 use crate::net::runtime::metrics::COUNTERS;
 use crate::net::runtime::shutdown::Phase;
 use crate::net::runtime::socket_errors;
-use crate::say;
 
 /// Maximum number of connections served at a time. Further ones wait in the listener's queue.
 pub const MAX_CONNECTIONS: usize = 16;
-/// Time from the accept of a connection to the last byte of the answer.
+/// Time from the accept of a connection to the last byte of the response.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum size of the head of a call, with all its header lines.
 const MAX_HEAD_BYTES: usize = 8 << 10;
@@ -75,7 +75,7 @@
     let bind_error = |source| BindError { address, source };
     let listener = TcpListener::bind(address).await.map_err(bind_error)?;
     let bound = listener.local_addr().map_err(bind_error)?;
-    say!("ops: listening on {bound}");
+    info!("ops: listening on {bound}");
     Ok(listener)
 }
 
@@ -96,7 +96,7 @@
             }
             Err(e) => {
                 COUNTERS.downstream_accept_failed.increment();
-                say!("ops: accept: {e}");
+                info!("ops: accept: {e}");
                 sleep_until(Instant::now() + ACCEPT_BACKOFF).await;
             }
         }
--- a/src/net/consensus/actor.rs
+++ b/src/net/consensus/actor.rs
@@ -20,13 +20,13 @@
 use super::intake::DatagramIntake;
 use super::operator_calls::{OperatorRequest, Proposal, ProposalOutcome};
 use super::store::{History, HistoryEntry, StateStore, StoredState};
-use crate::net::canary::{CanaryStep, CanaryWatch, Rollback, SecondOutcomes};
+use crate::info;
+use crate::net::canary::{CanaryMonitor, CanaryStep, Rollback, SecondOutcomes};
 use crate::net::config::settings::TierSettings;
 use crate::net::control::message::{ActiveVersions, ControlCommand, ScheduledConfigVersion};
 use crate::net::peers::OutgoingDatagram;
 use crate::net::runtime::clock::Clock;
 use crate::net::runtime::metrics::COUNTERS;
-use crate::say;
 
 /// Interval at which the replica's timers are checked, in addition to each datagram and call.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -81,12 +81,12 @@
     pub(super) served_document: Document,
     /// The latest document before the active one that had other values.
     pub(super) previous: Option<Document>,
-    /// The version that was served last. The next change must be based on it to be watched.
+    /// The version that was served last. Only a change that is based on it can be analyzed.
     served_version: Slot,
     pub(super) proposal: Option<Proposal>,
     pub(super) store: StateStore,
     pub(super) intake: DatagramIntake,
-    pub(super) canary: Option<CanaryWatch>,
+    pub(super) canary: Option<CanaryMonitor>,
     last_report: Option<Report>,
     clock: Clock,
     peers: mpsc::Sender<OutgoingDatagram>,
@@ -107,7 +107,7 @@
         let replica = Replica::new(replica_settings, parts.seed, snapshot, replicas == 1)?;
         let (history, previous) =
             parts.stored.map_or((History::default(), None), |state| (state.history, state.previous));
-        let canary = settings.canary.clone().map(|canary| CanaryWatch::new(canary, own, replicas));
+        let canary = settings.canary.clone().map(|canary| CanaryMonitor::new(canary, own, replicas));
         let mut actor = ConsensusActor {
             served_version: replica.active_version().0,
             replica,
@@ -147,9 +147,9 @@
             tokio::select! {
                 Some(bytes) = datagrams.recv() => self.on_datagram(&bytes),
                 Some((call, reply)) = calls.recv() => {
-                    let answer = self.on_operator_call(call);
+                    let result = self.on_operator_call(call);
                     self.advance();
-                    let _ = reply.send(answer);
+                    let _ = reply.send(result);
                 }
                 Some(second) = outcomes.recv() => self.on_second_outcomes(second),
                 _ = ticks.tick() => {}
@@ -234,17 +234,17 @@
 
     fn on_replica_event(&mut self, event: ReplicaEvent) {
         match event {
-            ReplicaEvent::DocumentReceived { digest } => say!("tier: received document {digest}"),
+            ReplicaEvent::DocumentReceived { digest } => info!("tier: received document {digest}"),
             ReplicaEvent::Decided { slot, value } => self.on_decided(slot, value),
             ReplicaEvent::Activated { slot, digest } => self.on_activated(slot, digest),
-            ReplicaEvent::ProposalLost { slot } => say!("tier: version {slot}, proposed here, was not made"),
+            ReplicaEvent::ProposalLost { slot } => info!("tier: version {slot}, proposed here, was not made"),
             ReplicaEvent::ProposalUnanswered { slot, replicas } => {
-                say!("tier: gave up version {slot}: replicas {replicas:?} did not answer");
+                info!("tier: gave up version {slot}: replicas {replicas:?} did not answer");
                 if let Some(proposal) = self.proposal.as_mut().filter(|p| p.version == slot) {
                     proposal.unanswered = replicas;
                 }
             }
-            ReplicaEvent::StatusChanged(status) => say!("tier: replica status {status:?}"),
+            ReplicaEvent::StatusChanged(status) => info!("tier: replica status {status:?}"),
         }
     }
 
@@ -256,7 +256,7 @@
         let (author, reason) = document
             .map(|document| (document.provenance.author, document.provenance.reason))
             .unwrap_or_default();
-        say!("tier: version {slot} is decided: {value:?}");
+        info!("tier: version {slot} is decided: {value:?}");
         self.history.push(HistoryEntry {
             version: slot,
             digest: digest.map_or("configuration".into(), |digest| digest.to_string()),
@@ -272,7 +272,7 @@
     }
 
     fn on_activated(&mut self, slot: Slot, digest: Option<Digest>) {
-        say!("tier: version {slot} is active");
+        info!("tier: version {slot} is active");
         if digest.is_some_and(|digest| digest != self.served_document.digest()) {
             if let Some(document) = self.active_document() {
                 self.serve(slot, document);
@@ -284,7 +284,7 @@
     /// Serves under another document from now on.
     fn serve(&mut self, slot: Slot, document: Document) {
         let has_same_values = self.served_document.has_same_values(&document);
-        self.watch_change(slot, &document, has_same_values);
+        self.analyze_change(slot, &document, has_same_values);
         let previous = std::mem::replace(&mut self.served_document, document);
         // A hold or a pin has the same values, so it is not a change that an undo could revert.
         if !has_same_values {
@@ -292,8 +292,8 @@
         }
     }
 
-    /// Reports a newly active document to the canary analysis, and starts to watch it if the document asks for that.
-    fn watch_change(&mut self, slot: Slot, document: &Document, has_same_values: bool) {
+    /// Reports a newly active document to the canary analysis, and starts its analysis if the document asks for that.
+    fn analyze_change(&mut self, slot: Slot, document: &Document, has_same_values: bool) {
         let Some(canary) = &mut self.canary else { return };
         let digest = document.digest();
         canary.on_version_active(digest, has_same_values);
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Sends the datagrams of the canary analysis, and proposes to roll the watched change back if service fell.
+    /// Sends the datagrams of the canary analysis, and proposes to roll the change back if service fell.
     fn step_canary(&mut self) {
         let now = self.now();
         let Some(canary) = &mut self.canary else { return };
@@ -324,7 +324,7 @@
         let Some(previous) = self.previous.clone() else { return };
         if self.propose(previous, BTreeSet::new()).is_ok() {
             COUNTERS.undone.increment();
-            say!("tier: service fell by {drop:.3} compared with the other plans; rolling the change back automatically");
+            info!("tier: service fell by {drop:.3} compared with the other plans; rolling the change back automatically");
             self.advance();
         }
     }
@@ -359,8 +359,8 @@
         }
     }
 
-    /// Whether the control actor already knows these versions, with a lease that is shorter by less than half a heartbeat
-    /// interval.
+    /// Whether the control actor already knows these versions, with a lease that is shorter by less than half a
+    /// heartbeat interval.
     fn is_reported(&self, version: Slot, lease: &VersionLease) -> bool {
         let half_heartbeat = self.settings.heartbeat_interval / 2;
         self.last_report.as_ref().is_some_and(|last| {
--- a/src/net/listener/client_watch.rs
+++ b/src/net/listener/client_watch.rs
@@ -1,4 +1,4 @@
-//! Reports clients that disconnect before their answer.
+//! Reports clients that disconnect before their response.
 
 use sedgestack::RequestId;
 use tokio::sync::mpsc;
@@ -8,31 +8,31 @@
 
 /// Reports when dropped that the client disconnected, unless the request was answered: when a client disconnects, the
 /// handler of its request is dropped, and this value with it.
-pub(super) struct ClientWatch {
+pub(super) struct DisconnectGuard {
     id: RequestId,
     control: mpsc::Sender<Message>,
     client_gone: CancellationToken,
     is_answered: bool,
 }
 
-impl ClientWatch {
-    /// Watches the client of request `id`. If the client disconnects, `client_gone` is cancelled and `control` is
+impl DisconnectGuard {
+    /// Creates the guard of request `id`. If its client disconnects, `client_gone` is cancelled and `control` is
     /// notified.
     pub(super) fn new(
         id: RequestId,
         control: mpsc::Sender<Message>,
         client_gone: CancellationToken,
-    ) -> ClientWatch {
-        ClientWatch { id, control, client_gone, is_answered: false }
+    ) -> DisconnectGuard {
+        DisconnectGuard { id, control, client_gone, is_answered: false }
     }
 
-    /// Records that the request has its answer: dropping this value then reports nothing.
+    /// Records that the request was answered: dropping this value then reports nothing.
     pub(super) fn on_answered(&mut self) {
         self.is_answered = true;
     }
 }
 
-impl Drop for ClientWatch {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if self.is_answered {
             return;
--- a/src/net/listener/downstream_io.rs
+++ b/src/net/listener/downstream_io.rs
@@ -102,7 +102,7 @@
 }
 
 /// A client's connection in the form that the server library uses. Records in the connection's entry when a request
-/// begins and when an answer has been written.
+/// begins and when a response has been written.
 pub(super) struct DownstreamIo {
     downstream: Arc<Downstream>,
     entry: Arc<ConnectionEntry>,
@@ -169,7 +169,7 @@
         let done = Pin::new(&mut *self.downstream.stream()).poll_flush(cx);
         if matches!(done, Poll::Ready(Ok(()))) {
             let next = if self.downstream.read_ahead().is_empty() { Stage::Idle } else { Stage::Unfinished };
-            self.entry.advance_stage(Stage::Answering, next);
+            self.entry.advance_stage(Stage::Responding, next);
         }
         done
     }
